--- a/core/src/main/java/org/tallycart/core/claim/Holder.java
+++ b/core/src/main/java/org/tallycart/core/claim/ClaimHolder.java
@@ -7,5 +7,5 @@
  * @param attemptId the entry's id of the attempt, unique in the fleet
  * @since 0.1
  */
-public record Holder(String vm, String attemptId) {
+public record ClaimHolder(String vm, String attemptId) {
 }
--- a/core/src/main/java/org/tallycart/core/claim/ClaimRecord.java
+++ b/core/src/main/java/org/tallycart/core/claim/ClaimRecord.java
@@ -10,5 +10,5 @@
  * @param result the result the holder reported, or null
  * @since 0.1
  */
-public record ClaimRecord(IdempotencyKey key, Holder holder, byte @Nullable [] result) {
+public record ClaimRecord(IdempotencyKey key, ClaimHolder holder, byte @Nullable [] result) {
 }
--- a/core/src/main/java/org/tallycart/core/claim/ClaimReply.java
+++ b/core/src/main/java/org/tallycart/core/claim/ClaimReply.java
@@ -11,7 +11,7 @@
  * @param result the holder's reported result, where status is FINISHED
  * @since 0.1
  */
-public record ClaimReply(Status status, long term, @Nullable Holder holder, byte @Nullable [] result) {
+public record ClaimReply(Status status, long term, @Nullable ClaimHolder holder, byte @Nullable [] result) {
 
 	/** Kinds of answer. */
 	public enum Status {
--- a/core/src/main/java/org/tallycart/core/claim/ClaimTable.java
+++ b/core/src/main/java/org/tallycart/core/claim/ClaimTable.java
@@ -28,7 +28,7 @@
 
 	private final long incarnation;
 
-	private final KeyWindow window;
+	private final IdempotencyKeyWindow window;
 
 	private final Map<Integer, OwnedSlot> slots = new HashMap<>();
 
@@ -37,7 +37,7 @@
 
 	private int slotCount;
 
-	private ClaimTable(String vm, long incarnation, KeyWindow window) {
+	private ClaimTable(String vm, long incarnation, IdempotencyKeyWindow window) {
 		this.vm = vm;
 		this.incarnation = incarnation;
 		this.window = window;
@@ -50,7 +50,7 @@
 	 * @param window the window in which keys can be claimed
 	 * @return the table
 	 */
-	public static ClaimTable create(String vm, long incarnation, KeyWindow window) {
+	public static ClaimTable create(String vm, long incarnation, IdempotencyKeyWindow window) {
 		return new ClaimTable(vm, incarnation, window);
 	}
 
@@ -60,12 +60,12 @@
 	 * @param map the map
 	 * @param nowMs the wall clock now
 	 */
-	public void adopt(SlotMap map, long nowMs) {
+	public void applySlotMap(SlotMap map, long nowMs) {
 		this.slotCount = map.slotCount();
 		Set<Integer> mine = new HashSet<>(map.ownedBy(this.vm, this.incarnation));
 		this.slots.entrySet().removeIf((entry) -> !mine.contains(entry.getKey()) && entry.getValue().confirmed);
 		for (int slot : mine) {
-			SlotOwner owner = InvariantViolation.present(map.owner(slot), "an owned slot has no owner");
+			SlotOwner owner = InvariantViolation.requirePresent(map.owner(slot), "an owned slot has no owner");
 			OwnedSlot owned = this.slots.get(slot);
 			if (owned == null || !owned.confirmed && !owned.matches(owner)) {
 				// Claims of the earlier owner are lost: refuse whatever it can have
@@ -74,7 +74,7 @@
 				owned = new OwnedSlot(first ? Long.MIN_VALUE : nowMs + 2 * this.window.skewMs());
 				this.slots.put(slot, owned);
 			}
-			InvariantViolation.unless(owner.term() >= owned.term, "the term of slot " + slot + " fell");
+			InvariantViolation.check(owner.term() >= owned.term, "the term of slot " + slot + " fell");
 			owned.term = owner.term();
 			if (!owned.confirmed) {
 				owned.confirmed = true;
@@ -91,7 +91,7 @@
 	 * @param nowMs the wall clock now
 	 * @return the answer
 	 */
-	public ClaimReply claim(IdempotencyKey key, Holder asker, long knownTerm, long nowMs) {
+	public ClaimReply claim(IdempotencyKey key, ClaimHolder asker, long knownTerm, long nowMs) {
 		OwnedSlot owned = (this.slotCount > 0) ? this.slots.get(key.slot(this.slotCount)) : null;
 		if (owned == null || owned.sealed || !owned.confirmed) {
 			return ClaimReply.of(ClaimReply.Status.NOT_OWNER, 0);
@@ -115,7 +115,7 @@
 		return ClaimReply.of(ClaimReply.Status.GRANTED, owned.term);
 	}
 
-	private ClaimReply answerHeld(ClaimRecord held, Holder asker, long term) {
+	private ClaimReply answerHeld(ClaimRecord held, ClaimHolder asker, long term) {
 		if (held.result() != null) {
 			return new ClaimReply(ClaimReply.Status.FINISHED, term, held.holder(), held.result());
 		}
@@ -136,7 +136,7 @@
 	 * @param result the result, to be told to later askers
 	 * @return whether the holder does hold the key
 	 */
-	public boolean finish(IdempotencyKey key, Holder holder, byte[] result) {
+	public boolean finish(IdempotencyKey key, ClaimHolder holder, byte[] result) {
 		OwnedSlot owned = (this.slotCount > 0) ? this.slots.get(key.slot(this.slotCount)) : null;
 		ClaimRecord held = (owned != null) ? owned.claims.get(key.text()) : null;
 		if (owned == null || held == null || !held.holder().equals(holder)) {
@@ -152,7 +152,7 @@
 	 * @param holder the holder, which must itself have given up the attempt
 	 * @return whether the key was released
 	 */
-	public boolean release(IdempotencyKey key, Holder holder) {
+	public boolean release(IdempotencyKey key, ClaimHolder holder) {
 		OwnedSlot owned = (this.slotCount > 0) ? this.slots.get(key.slot(this.slotCount)) : null;
 		ClaimRecord held = (owned != null) ? owned.claims.get(key.text()) : null;
 		if (owned == null || owned.sealed || held == null || held.result() != null || !held.holder().equals(holder)) {
@@ -195,7 +195,7 @@
 
 	/**
 	 * Stage a slot that is being handed to this process. It grants nothing until
-	 * {@link #adopt} sees a map in which this very handover took effect.
+	 * {@link #applySlotMap} sees a map in which this very handover took effect.
 	 * @param handover the slot and its claims
 	 * @return whether the slot was staged; false if this process owns it already, or if a
 	 * later try of the same handover was staged before
--- a/core/src/main/java/org/tallycart/core/claim/KeyWindow.java
+++ b/core/src/main/java/org/tallycart/core/claim/IdempotencyKeyWindow.java
@@ -2,9 +2,9 @@
 
 import java.util.Optional;
 
-import org.tallycart.core.outcome.Ending;
 import org.tallycart.core.outcome.Outcome;
 import org.tallycart.core.outcome.Reason;
+import org.tallycart.core.outcome.RequestResult;
 
 /**
  * Time window in which an idempotency key can be claimed.
@@ -16,7 +16,7 @@
  * @param skewMs largest difference between two clocks
  * @since 0.1
  */
-public record KeyWindow(long retentionMs, long skewMs) {
+public record IdempotencyKeyWindow(long retentionMs, long skewMs) {
 
 	/**
 	 * Check a key's age.
@@ -24,17 +24,17 @@
 	 * @param nowMs the wall clock now
 	 * @return the ending to tell, or empty if the key can be claimed
 	 */
-	public Optional<Ending> check(IdempotencyKey key, long nowMs) {
+	public Optional<RequestResult> check(IdempotencyKey key, long nowMs) {
 		long age = nowMs - key.createdMs();
 		if (age > this.retentionMs) {
-			return Optional.of(Ending.of(Outcome.UNKNOWN, Reason.KEY_EXPIRED,
+			return Optional.of(RequestResult.of(Outcome.UNKNOWN, Reason.KEY_EXPIRED,
 					"the key is " + age + " ms old; claims are kept for " + this.retentionMs + " ms"));
 		}
 		if (-age > this.skewMs) {
 			// A VM whose clock is ahead by the skew may have accepted this key already.
 			Outcome outcome = (-age > 2 * this.skewMs) ? Outcome.NOT_RUN : Outcome.UNKNOWN;
-			return Optional.of(new Ending(outcome, Reason.KEY_FROM_FUTURE, "the key was created " + -age + " ms ahead",
-					-age - this.skewMs));
+			return Optional.of(new RequestResult(outcome, Reason.KEY_FROM_FUTURE,
+					"the key was created " + -age + " ms ahead", -age - this.skewMs));
 		}
 		return Optional.empty();
 	}
--- a/core/src/main/java/org/tallycart/core/claim/SlotMap.java
+++ b/core/src/main/java/org/tallycart/core/claim/SlotMap.java
@@ -82,7 +82,7 @@
 	public List<Integer> ownedBy(String vm, long incarnation) {
 		List<Integer> slots = new ArrayList<>();
 		for (Map.Entry<Integer, SlotOwner> entry : this.owners.entrySet()) {
-			if (entry.getValue().is(vm, incarnation)) {
+			if (entry.getValue().matches(vm, incarnation)) {
 				slots.add(entry.getKey());
 			}
 		}
--- a/core/src/main/java/org/tallycart/core/claim/SlotOwner.java
+++ b/core/src/main/java/org/tallycart/core/claim/SlotOwner.java
@@ -19,7 +19,7 @@
 	 * @param otherIncarnation the process's incarnation
 	 * @return true if it is
 	 */
-	public boolean is(String otherVm, long otherIncarnation) {
+	public boolean matches(String otherVm, long otherIncarnation) {
 		return this.vm.equals(otherVm) && this.incarnation == otherIncarnation;
 	}
 
--- a/core/src/main/java/org/tallycart/core/claim/SubmissionId.java
+++ b/core/src/main/java/org/tallycart/core/claim/SubmissionId.java
@@ -27,7 +27,7 @@
 	 * @param text the id as it travels
 	 * @return the request's id
 	 */
-	public static String requestOf(String text) {
+	public static String requestIdOf(String text) {
 		int end = text.lastIndexOf(SEPARATOR);
 		return (end >= 0) ? text.substring(0, end) : text;
 	}
--- a/core/src/main/java/org/tallycart/core/crash/CrashLedger.java
+++ b/core/src/main/java/org/tallycart/core/crash/CrashingRequestDetector.java
@@ -31,7 +31,7 @@
  *
  * @since 0.1
  */
-public final class CrashLedger {
+public final class CrashingRequestDetector {
 
 	/** How long a request waits for a word that it was answered, in milliseconds. */
 	public static final long CONFIRM_MS = 200;
@@ -122,7 +122,7 @@
 	 * @param nowMs the steady clock
 	 * @return a time on the steady clock; now if there is none
 	 */
-	public long firstEndMs(Fingerprint fingerprint, long nowMs) {
+	public long firstCrashMs(Fingerprint fingerprint, long nowMs) {
 		return this.bySuspect.getOrDefault(fingerprint, List.of())
 			.stream()
 			.mapToLong((end) -> end.endedMs)
@@ -187,7 +187,7 @@
 	 * @param nowMs the steady clock
 	 * @return those that were not taken before
 	 */
-	public List<Fingerprint> take(long nowMs) {
+	public List<Fingerprint> takeConfirmed(long nowMs) {
 		List<Fingerprint> found = new ArrayList<>();
 		for (Fingerprint suspect : List.copyOf(this.dueMs.keySet())) {
 			if (nowMs < this.dueMs.getOrDefault(suspect, nowMs)) {
@@ -207,7 +207,7 @@
 	 * @param fingerprint the request
 	 * @return the count
 	 */
-	public int ends(Fingerprint fingerprint) {
+	public int crashCount(Fingerprint fingerprint) {
 		return this.bySuspect.getOrDefault(fingerprint, List.of()).size();
 	}
 
--- a/core/src/main/java/org/tallycart/core/crash/Quarantine.java
+++ b/core/src/main/java/org/tallycart/core/crash/Quarantine.java
@@ -53,7 +53,7 @@
 	 * @param all until when each request is kept away, on the steady clock
 	 * @return whether anything changed
 	 */
-	public boolean replaceListed(Map<Fingerprint, Long> all) {
+	public boolean replaceStored(Map<Fingerprint, Long> all) {
 		Set<Fingerprint> ended = new HashSet<>(this.listed);
 		ended.removeAll(all.keySet());
 		ended.forEach(this.untilMs::remove);
@@ -116,7 +116,7 @@
 	 * @param fingerprint the request
 	 * @param onQuarantined runs when it is to be kept away after all
 	 */
-	public void enter(Fingerprint fingerprint, Runnable onQuarantined) {
+	public void addInFlight(Fingerprint fingerprint, Runnable onQuarantined) {
 		this.underWay.computeIfAbsent(fingerprint, (key) -> new LinkedHashSet<>()).add(onQuarantined);
 	}
 
@@ -125,7 +125,7 @@
 	 * @param fingerprint the request
 	 * @param onQuarantined what was given when it was under way
 	 */
-	public void leave(Fingerprint fingerprint, Runnable onQuarantined) {
+	public void removeInFlight(Fingerprint fingerprint, Runnable onQuarantined) {
 		Set<Runnable> left = this.underWay.getOrDefault(fingerprint, new HashSet<>());
 		left.remove(onQuarantined);
 		if (left.isEmpty()) {
--- a/core/src/main/java/org/tallycart/core/crash/CrashReports.java
+++ b/core/src/main/java/org/tallycart/core/crash/RecentCrashReports.java
@@ -18,7 +18,7 @@
  *
  * @since 0.1
  */
-public final class CrashReports {
+public final class RecentCrashReports {
 
 	/**
 	 * How long a report is kept, in milliseconds: a VM that reads the store in place of
@@ -73,7 +73,7 @@
 	 * @param fingerprint the request
 	 * @return whether it was a suspect
 	 */
-	public boolean clear(Fingerprint fingerprint) {
+	public boolean removeSuspect(Fingerprint fingerprint) {
 		if (!this.suspects.remove(fingerprint)) {
 			return false;
 		}
--- a/core/src/main/java/org/tallycart/core/crash/ServedRequests.java
+++ b/core/src/main/java/org/tallycart/core/crash/ServedRequests.java
@@ -40,7 +40,7 @@
 	 * @param sinceMs the time, on the steady clock
 	 * @return true if it was, and is remembered
 	 */
-	public boolean since(Fingerprint fingerprint, long sinceMs) {
+	public boolean servedSince(Fingerprint fingerprint, long sinceMs) {
 		Long at = this.servedMs.get(fingerprint);
 		return at != null && at >= sinceMs;
 	}
--- a/core/src/main/java/org/tallycart/core/declaration/DeclarationReader.java
+++ b/core/src/main/java/org/tallycart/core/declaration/DeclarationReader.java
@@ -94,7 +94,7 @@
 				return;
 			}
 		}
-		reader.finish();
+		reader.reportUnknownKeys();
 	}
 
 	private void pipeline(IniSection section, SectionReader reader) {
@@ -111,7 +111,7 @@
 	}
 
 	private void service(IniSection section, SectionReader reader) {
-		StageKind kind = reader.word("kind", StageKind.class, StageKind.PLAIN);
+		StageKind kind = reader.enumValue("kind", StageKind.class, StageKind.PLAIN);
 		List<Upstream> upstreams = new ArrayList<>();
 		for (String item : reader.list("upstreams")) {
 			upstream(item, reader, upstreams);
@@ -120,7 +120,7 @@
 				new Service(section.id(), kind, reader.text("model", ""), reader.text("path", "/call"),
 						reader.decimal("cost-per-call", 1, 0, MAX_RATE),
 						reader.decimal("cost-per-token", 0, 0, MAX_RATE),
-						reader.word("balancer", BalancerKind.class, BalancerKind.LEAST_LOAD_AGED), upstreams));
+						reader.enumValue("balancer", BalancerKind.class, BalancerKind.LEAST_LOAD_AGED), upstreams));
 	}
 
 	private void upstream(String item, SectionReader reader, List<Upstream> upstreams) {
--- a/core/src/main/java/org/tallycart/core/fleet/DutyRanks.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderRanking.java
@@ -23,16 +23,16 @@
  * of 18 equal VMs in one deployment of six.
  * <p>
  * Invariant: VMs that know the same records and want the same heavy duties rank alike.
- * Not thread-safe: guarded by {@link DutyTable}.
+ * Not thread-safe: guarded by {@link LeaderTable}.
  */
-final class DutyRanks {
+final class LeaderRanking {
 
 	private final Map<String, VmRecord> records = new HashMap<>();
 
-	private final Map<Duty, List<String>> wanted = new HashMap<>();
+	private final Map<LeaderRole, List<String>> wanted = new HashMap<>();
 
 	// Of duties whose holders are not asked; made when they are needed.
-	private final Map<Duty, List<String>> others = new HashMap<>();
+	private final Map<LeaderRole, List<String>> others = new HashMap<>();
 
 	// The same records come again with each list, and rank as before.
 	void know(Collection<VmRecord> known) {
@@ -47,17 +47,17 @@
 		rankAll(Set.copyOf(this.wanted.keySet()));
 	}
 
-	void want(Collection<Duty> duties) {
-		Set<Duty> fresh = Set.copyOf(duties);
+	void want(Collection<LeaderRole> duties) {
+		Set<LeaderRole> fresh = Set.copyOf(duties);
 		if (!fresh.equals(this.wanted.keySet())) {
 			rankAll(fresh);
 		}
 	}
 
-	private void rankAll(Set<Duty> duties) {
+	private void rankAll(Set<LeaderRole> duties) {
 		this.wanted.clear();
 		Set<String> busy = new HashSet<>();
-		for (Duty duty : duties.stream().sorted(Comparator.comparing(Duty::subject)).toList()) {
+		for (LeaderRole duty : duties.stream().sorted(Comparator.comparing(LeaderRole::subject)).toList()) {
 			List<String> rank = rank(duty, duty.heavy() ? busy : Set.of());
 			this.wanted.put(duty, rank);
 			if (duty.heavy()) {
@@ -66,7 +66,7 @@
 		}
 	}
 
-	private List<String> rank(Duty duty, Set<String> busy) {
+	private List<String> rank(LeaderRole duty, Set<String> busy) {
 		Map<Integer, List<String>> byCapacity = new TreeMap<>(Comparator.reverseOrder());
 		this.records.values()
 			.stream()
@@ -87,11 +87,11 @@
 	}
 
 	// Empty for a duty that is not wanted.
-	List<String> ofWanted(Duty duty) {
+	List<String> ofWanted(LeaderRole duty) {
 		return this.wanted.getOrDefault(duty, List.of());
 	}
 
-	List<String> of(Duty duty) {
+	List<String> of(LeaderRole duty) {
 		List<String> rank = this.wanted.get(duty);
 		return (rank != null) ? rank : this.others.computeIfAbsent(duty, (key) -> rank(key, Set.of()));
 	}
--- a/core/src/main/java/org/tallycart/core/fleet/Duty.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderRole.java
@@ -10,21 +10,21 @@
  * @param heavy whether it takes much of a VM's processor time and link
  * @since 0.1
  */
-public record Duty(String subject, Optional<String> failureDomain, boolean heavy) {
+public record LeaderRole(String subject, Optional<String> failureDomain, boolean heavy) {
 
 	/** Reading the platform's store for all VMs: a duty that any VM may hold. */
-	public static final Duty READ = new Duty("read", Optional.empty(), false);
+	public static final LeaderRole READ = new LeaderRole("read", Optional.empty(), false);
 
 	/** Granting what may be sent to upstreams that have named a limit. */
-	public static final Duty GRANT = new Duty("grant", Optional.empty(), false);
+	public static final LeaderRole GRANT = new LeaderRole("grant", Optional.empty(), false);
 
 	/**
 	 * Dispatching a stage pool's calls.
 	 * @param service the pool
 	 * @return a duty that any VM may hold
 	 */
-	public static Duty dispatch(String service) {
-		return new Duty("dispatch/" + service, Optional.empty(), true);
+	public static LeaderRole poolDispatcher(String service) {
+		return new LeaderRole("dispatch/" + service, Optional.empty(), true);
 	}
 
 	/**
@@ -32,8 +32,8 @@
 	 * @param failureDomain the failure domain
 	 * @return a duty that a VM of that failure domain holds
 	 */
-	public static Duty follow(String failureDomain) {
-		return new Duty("follow/" + failureDomain, Optional.of(failureDomain), false);
+	public static LeaderRole domainRelay(String failureDomain) {
+		return new LeaderRole("follow/" + failureDomain, Optional.of(failureDomain), false);
 	}
 
 	boolean mayBeHeldBy(VmRecord record) {
--- a/core/src/main/java/org/tallycart/core/fleet/DutyTable.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderTable.java
@@ -14,10 +14,10 @@
  * Which VM holds each duty, as one VM sees it, and which VMs it has to ask whether they
  * live.
  * <p>
- * For each duty all VMs rank the VMs that may hold it alike, see {@link DutyRanks}. The
- * first that works holds it. A VM asks only the holder and the next in rank, and for 10 s
- * more those that were, so the number of questions does not depend on the size of the
- * fleet. Views may differ for a while, so two VMs may hold a duty at the same time;
+ * For each duty all VMs rank the VMs that may hold it alike, see {@link LeaderRanking}.
+ * The first that works holds it. A VM asks only the holder and the next in rank, and for
+ * 10 s more those that were, so the number of questions does not depend on the size of
+ * the fleet. Views may differ for a while, so two VMs may hold a duty at the same time;
  * duties have to bear that.
  * <p>
  * Invariants: a holder is this VM itself, or a VM that answered lately; a VM that drains
@@ -25,7 +25,7 @@
  *
  * @since 0.1
  */
-public final class DutyTable implements DutyView {
+public final class LeaderTable implements LeaderView {
 
 	/** How many VMs that work are kept in touch with for a duty: one, and a spare. */
 	private static final int WANTED = 2;
@@ -41,9 +41,9 @@
 
 	private final String vm;
 
-	private final DutyRanks ranks = new DutyRanks();
+	private final LeaderRanking ranks = new LeaderRanking();
 
-	private final Map<String, PeerLink> links = new HashMap<>();
+	private final Map<String, PeerLiveness> links = new HashMap<>();
 
 	private boolean draining;
 
@@ -53,7 +53,7 @@
 	 * Create a table.
 	 * @param vm this VM's name
 	 */
-	public DutyTable(String vm) {
+	public LeaderTable(String vm) {
 		this.vm = vm;
 	}
 
@@ -61,7 +61,7 @@
 	 * Take the VMs that may exist.
 	 * @param known their records
 	 */
-	public void know(Collection<VmRecord> known) {
+	public void updateRecords(Collection<VmRecord> known) {
 		this.ranks.know(known);
 		this.links.keySet().retainAll(this.ranks.vms());
 	}
@@ -70,17 +70,17 @@
 	 * Take the duties that matter to this VM.
 	 * @param duties all of them
 	 */
-	public void want(Collection<Duty> duties) {
+	public void setWatchedRoles(Collection<LeaderRole> duties) {
 		this.ranks.want(duties);
 	}
 
 	@Override
-	public String holder(Duty duty) {
+	public String leader(LeaderRole duty) {
 		return this.ranks.ofWanted(duty).stream().filter(this::works).findFirst().orElse(this.vm);
 	}
 
 	@Override
-	public int ahead(Duty duty, long nowMs) {
+	public int countAhead(LeaderRole duty, long nowMs) {
 		int ahead = 0;
 		for (String name : this.ranks.of(duty)) {
 			if (isThisAndWorks(name)) {
@@ -94,14 +94,14 @@
 	}
 
 	@Override
-	public Set<String> silentAhead(Duty duty, long nowMs) {
+	public Set<String> unresponsiveAhead(LeaderRole duty, long nowMs) {
 		Set<String> silent = new HashSet<>();
 		for (String name : this.ranks.ofWanted(duty)) {
 			if (name.equals(this.vm)) {
 				return silent;
 			}
-			PeerLink link = this.links.get(name);
-			if (link != null && link.silentSince(nowMs - HeardVms.LATELY_MS)) {
+			PeerLiveness link = this.links.get(name);
+			if (link != null && link.silentSince(nowMs - PeerReachability.LATELY_MS)) {
 				silent.add(name);
 			}
 		}
@@ -109,7 +109,7 @@
 	}
 
 	@Override
-	public boolean settled(Duty duty, long nowMs) {
+	public boolean isLeaderKnown(LeaderRole duty, long nowMs) {
 		for (String name : this.ranks.ofWanted(duty)) {
 			if (works(name)) {
 				return true;
@@ -126,13 +126,13 @@
 	}
 
 	private boolean works(String name) {
-		PeerLink link = this.links.get(name);
+		PeerLiveness link = this.links.get(name);
 		return isThisAndWorks(name) || (link != null && link.working());
 	}
 
 	// Another VM that was not asked yet, or not long enough ago to be taken for lost.
 	private boolean mayAnswerYet(String name, long nowMs) {
-		PeerLink link = this.links.get(name);
+		PeerLiveness link = this.links.get(name);
 		return !name.equals(this.vm) && (link == null || link.mayAnswerYet(nowMs));
 	}
 
@@ -142,7 +142,7 @@
 	 * @param nowMs the steady clock
 	 * @return their records
 	 */
-	public List<VmRecord> tick(long nowMs) {
+	public List<VmRecord> dueHeartbeats(long nowMs) {
 		forgiveIfStoodStill(nowMs);
 		Map<String, Boolean> roles = new HashMap<>();
 		this.ranks.ofWanted().forEach((rank) -> collectRoles(rank, roles, nowMs));
@@ -184,7 +184,7 @@
 			if (name.equals(this.vm)) {
 				continue;
 			}
-			PeerLink link = link(name);
+			PeerLiveness link = link(name);
 			boolean asHolder = link.working() && working == 0;
 			roles.merge(name, asHolder, Boolean::logicalOr);
 			if (link.working() || link.mayAnswerYet(nowMs)) {
@@ -193,8 +193,8 @@
 		}
 	}
 
-	private PeerLink link(String name) {
-		return this.links.computeIfAbsent(name, (key) -> new PeerLink());
+	private PeerLiveness link(String name) {
+		return this.links.computeIfAbsent(name, (key) -> new PeerLiveness());
 	}
 
 	/**
@@ -209,7 +209,7 @@
 		if (!this.ranks.vms().contains(name)) {
 			return Change.NONE;
 		}
-		PeerLink link = link(name);
+		PeerLiveness link = link(name);
 		boolean before = link.live();
 		boolean restarted = link.onAnswer(incarnation, drains, nowMs);
 		if (restarted) {
@@ -233,7 +233,7 @@
 	 * @param nowMs the steady clock
 	 * @return their names
 	 */
-	public List<String> takeSilent(long nowMs) {
+	public List<String> detectFailures(long nowMs) {
 		List<String> silent = new ArrayList<>();
 		this.links.forEach((name, link) -> {
 			if (link.silent(nowMs)) {
@@ -250,8 +250,8 @@
 	 * @param name the VM
 	 * @return whether it counted as live until now
 	 */
-	public boolean onClosed(String name) {
-		PeerLink link = this.links.get(name);
+	public boolean onConnectionClosed(String name) {
+		PeerLiveness link = this.links.get(name);
 		if (link == null || !link.live()) {
 			return false;
 		}
@@ -269,7 +269,7 @@
 	 * Return whether this VM is about to stop.
 	 * @return true if it is
 	 */
-	public boolean draining() {
+	public boolean isDraining() {
 		return this.draining;
 	}
 
@@ -279,11 +279,11 @@
 	 * @param count how many for each of these duties
 	 * @return their names, without this VM's
 	 */
-	public Set<String> firstForNews(int count) {
+	public Set<String> preferredSources(int count) {
 		Set<String> first = new LinkedHashSet<>();
-		this.ranks.of(Duty.READ).stream().limit(count).forEach(first::add);
+		this.ranks.of(LeaderRole.READ).stream().limit(count).forEach(first::add);
 		for (String domain : this.ranks.failureDomains()) {
-			this.ranks.of(Duty.follow(domain)).stream().limit(count).forEach(first::add);
+			this.ranks.of(LeaderRole.domainRelay(domain)).stream().limit(count).forEach(first::add);
 		}
 		first.remove(this.vm);
 		return first;
@@ -310,7 +310,7 @@
 	 * Return how many VMs are known, whether they live or not.
 	 * @return the count; 0 while no record was read
 	 */
-	public int known() {
+	public int recordCount() {
 		return this.ranks.vms().size();
 	}
 
@@ -318,8 +318,8 @@
 	 * Return how many of the VMs that this one asks are live.
 	 * @return the count, without this VM
 	 */
-	public int live() {
-		return (int) this.links.values().stream().filter(PeerLink::live).count();
+	public int liveCount() {
+		return (int) this.links.values().stream().filter(PeerLiveness::live).count();
 	}
 
 	/** What an answer changes. */
--- a/core/src/main/java/org/tallycart/core/fleet/DutyView.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderView.java
@@ -9,14 +9,14 @@
  *
  * @since 0.1
  */
-public interface DutyView {
+public interface LeaderView {
 
 	/**
 	 * Return the VM that holds a duty.
 	 * @param duty the duty
 	 * @return the VM's name; this VM's if it knows no other that works
 	 */
-	String holder(Duty duty);
+	String leader(LeaderRole duty);
 
 	/**
 	 * Return how many VMs come before this one for a duty. Those that were not asked
@@ -26,7 +26,7 @@
 	 * @param nowMs the steady clock
 	 * @return the count; 0 if this VM holds the duty, or knows of no VM
 	 */
-	int ahead(Duty duty, long nowMs);
+	int countAhead(LeaderRole duty, long nowMs);
 
 	/**
 	 * Return the VMs that come before this one for a duty and do not answer, though they
@@ -37,7 +37,7 @@
 	 * @param nowMs the steady clock
 	 * @return their names
 	 */
-	Set<String> silentAhead(Duty duty, long nowMs);
+	Set<String> unresponsiveAhead(LeaderRole duty, long nowMs);
 
 	/**
 	 * Return whether it is known who holds a duty.
@@ -46,6 +46,6 @@
 	 * @return false while a VM that would come before the holder may answer its first
 	 * question yet
 	 */
-	boolean settled(Duty duty, long nowMs);
+	boolean isLeaderKnown(LeaderRole duty, long nowMs);
 
 }
--- a/core/src/main/java/org/tallycart/core/fleet/PeerLink.java
+++ b/core/src/main/java/org/tallycart/core/fleet/PeerLiveness.java
@@ -3,9 +3,9 @@
 /**
  * What a VM knows of its path to another one.
  * <p>
- * Not thread-safe: guarded by {@link DutyTable}.
+ * Not thread-safe: guarded by {@link LeaderTable}.
  */
-final class PeerLink {
+final class PeerLiveness {
 
 	/** Time between two questions to the holder of a duty, in milliseconds. */
 	static final long HOLDER_PERIOD_MS = 200;
--- a/core/src/main/java/org/tallycart/core/fleet/HeardVms.java
+++ b/core/src/main/java/org/tallycart/core/fleet/PeerReachability.java
@@ -13,7 +13,7 @@
  *
  * @since 0.1
  */
-public final class HeardVms {
+public final class PeerReachability {
 
 	/**
 	 * A VM that was heard within this time is near, in milliseconds: whoever holds a duty
@@ -40,7 +40,7 @@
 	 * Create an empty memory.
 	 * @param nowMs the steady clock, when this VM starts
 	 */
-	public HeardVms(long nowMs) {
+	public PeerReachability(long nowMs) {
 		this.startedMs = nowMs;
 		this.lostMs = nowMs;
 	}
@@ -50,7 +50,7 @@
 	 * @param vm the VM
 	 * @param nowMs the steady clock
 	 */
-	public void onHeard(String vm, long nowMs) {
+	public void onMessage(String vm, long nowMs) {
 		this.heardMs.put(vm, nowMs);
 	}
 
@@ -58,7 +58,7 @@
 	 * Take note that another VM has told that it leaves.
 	 * @param vm the VM
 	 */
-	public void onLeaving(String vm) {
+	public void onDraining(String vm) {
 		this.heardMs.remove(vm);
 	}
 
@@ -67,7 +67,7 @@
 	 * which others this VM reaches since.
 	 * @param nowMs the steady clock
 	 */
-	public void onLost(long nowMs) {
+	public void onPeerLost(long nowMs) {
 		this.lostMs = nowMs;
 	}
 
--- a/core/src/main/java/org/tallycart/core/fleet/SourceHealth.java
+++ b/core/src/main/java/org/tallycart/core/fleet/SourceFreshness.java
@@ -3,9 +3,9 @@
 /**
  * How fresh what another VM passes on is, by its own answers.
  * <p>
- * Not thread-safe: guarded by {@link SourceChooser}.
+ * Not thread-safe: guarded by {@link StoreSourceChooser}.
  */
-final class SourceHealth {
+final class SourceFreshness {
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
--- a/core/src/main/java/org/tallycart/core/fleet/SourceChooser.java
+++ b/core/src/main/java/org/tallycart/core/fleet/StoreSourceChooser.java
@@ -29,7 +29,7 @@
  *
  * @since 0.1
  */
-public final class SourceChooser {
+public final class StoreSourceChooser {
 
 	/**
 	 * What the reader tells may be this old, in milliseconds. It asks the store every 400
@@ -102,9 +102,9 @@
 
 	private final String vm;
 
-	private final Duty relay;
+	private final LeaderRole relay;
 
-	private final Map<String, SourceHealth> sources = new HashMap<>();
+	private final Map<String, SourceFreshness> sources = new HashMap<>();
 
 	private String source = "";
 
@@ -129,9 +129,9 @@
 	 * @param vm this VM
 	 * @param failureDomain where it is
 	 */
-	public SourceChooser(String vm, String failureDomain) {
+	public StoreSourceChooser(String vm, String failureDomain) {
 		this.vm = vm;
-		this.relay = Duty.follow(failureDomain);
+		this.relay = LeaderRole.domainRelay(failureDomain);
 	}
 
 	/**
@@ -146,7 +146,7 @@
 	 * Take note that this VM's record is written.
 	 * @param nowMs the steady clock
 	 */
-	public void onRecorded(long nowMs) {
+	public void onRecordWritten(long nowMs) {
 		this.recordedMs = nowMs;
 	}
 
@@ -154,20 +154,20 @@
 	 * Take note that the store has answered this VM.
 	 * @param askedMs when it was asked, on the steady clock
 	 */
-	public void onContact(long askedMs) {
+	public void onStoreRead(long askedMs) {
 		this.contactMs = Math.max(this.contactMs, askedMs);
 	}
 
 	/**
-	 * Take note that the store has answered this VM's question, see {@link Step#ASK}.
+	 * Take note that the store has answered this VM's question, see {@link Action#ASK}.
 	 * @param sentMs when it was asked, on the steady clock
 	 */
-	public void onStoreAnswered(long sentMs) {
+	public void onProbeSuccess(long sentMs) {
 		this.answeredMs = Math.max(this.answeredMs, sentMs);
 	}
 
 	/** Take note that the store has not answered this VM's question. */
-	public void onStoreSilent() {
+	public void onProbeFailure() {
 		this.unanswered = true;
 	}
 
@@ -182,15 +182,15 @@
 		health(name).onAnswer(passesOn, storeAgeMs, MOST_READER_AGE_MS, nowMs);
 	}
 
-	private SourceHealth health(String name) {
-		return this.sources.computeIfAbsent(name, (key) -> new SourceHealth());
+	private SourceFreshness health(String name) {
+		return this.sources.computeIfAbsent(name, (key) -> new SourceFreshness());
 	}
 
 	/**
 	 * Take note whether other VMs look to this one.
 	 * @param nowFollowed whether any does
 	 */
-	public void onFollowed(boolean nowFollowed) {
+	public void setHasSubscribers(boolean nowFollowed) {
 		this.followed = nowFollowed;
 	}
 
@@ -200,26 +200,27 @@
 	 * @param nowMs the steady clock
 	 * @return one duty for most VMs; two for those that pass on or may have to read
 	 */
-	public List<Duty> duties(DutyView view, long nowMs) {
-		List<Duty> duties = new ArrayList<>(List.of(this.relay));
-		if (this.followed || view.ahead(this.relay, nowMs) < RELAYS || view.ahead(Duty.READ, nowMs) < READERS) {
-			duties.add(Duty.READ);
+	public List<LeaderRole> watchedRoles(LeaderView view, long nowMs) {
+		List<LeaderRole> duties = new ArrayList<>(List.of(this.relay));
+		if (this.followed || view.countAhead(this.relay, nowMs) < RELAYS
+				|| view.countAhead(LeaderRole.READ, nowMs) < READERS) {
+			duties.add(LeaderRole.READ);
 		}
 		return duties;
 	}
 
 	/**
 	 * Return the VM that this one should be told by.
-	 * @param view who holds duties; has to be told of {@link #duties} before
+	 * @param view who holds duties; has to be told of {@link #watchedRoles} before
 	 * @param nowMs the steady clock
 	 * @return its name; this VM's own if it is to read the store
 	 */
-	public String wanted(DutyView view, long nowMs) {
-		if (view.ahead(Duty.READ, nowMs) == 0) {
+	public String preferredSource(LeaderView view, long nowMs) {
+		if (view.countAhead(LeaderRole.READ, nowMs) == 0) {
 			return this.vm;
 		}
-		String near = view.holder(this.relay);
-		return near.equals(this.vm) ? view.holder(Duty.READ) : near;
+		String near = view.leader(this.relay);
+		return near.equals(this.vm) ? view.leader(LeaderRole.READ) : near;
 	}
 
 	/**
@@ -230,9 +231,9 @@
 	 * @param nowMs the steady clock
 	 * @return what to do
 	 */
-	public Step review(DutyView view, boolean serving, boolean othersKnown, long nowMs) {
-		String wanted = wanted(view, nowMs);
-		boolean asHolder = wanted.equals(this.vm) || view.holder(this.relay).equals(this.vm);
+	public Action review(LeaderView view, boolean serving, boolean othersKnown, long nowMs) {
+		String wanted = preferredSource(view, nowMs);
+		boolean asHolder = wanted.equals(this.vm) || view.leader(this.relay).equals(this.vm);
 		long mostAgeMs = asHolder ? MOST_READER_AGE_MS : MOST_RELAY_AGE_MS;
 		if (!wanted.equals(this.vm) && health(wanted).fit(mostAgeMs, nowMs)) {
 			this.unfitSinceMs = NEVER;
@@ -242,17 +243,17 @@
 		if (this.unfitSinceMs == NEVER) {
 			this.unfitSinceMs = nowMs;
 		}
-		if (reading() || nowMs < readFromMs(view, asHolder, othersKnown, nowMs)) {
-			return Step.STAY;
+		if (isReadingStore() || nowMs < readFromMs(view, asHolder, othersKnown, nowMs)) {
+			return Action.STAY;
 		}
 		if (!storeAnswers()) {
 			return askIfDue(nowMs);
 		}
 		if (this.unanswered && nowMs < this.answeredMs + AFTER_OUTAGE_MS && ahead(view, nowMs) > 0) {
-			return Step.STAY;
+			return Action.STAY;
 		}
 		this.source = this.vm;
-		return Step.READ;
+		return Action.READ;
 	}
 
 	// At a start, that the record was written shows that the store answers.
@@ -261,33 +262,33 @@
 		return recorded || this.answeredMs >= this.unfitSinceMs;
 	}
 
-	private Step askIfDue(long nowMs) {
+	private Action askIfDue(long nowMs) {
 		if (nowMs - this.askedMs < ASK_MS) {
-			return Step.STAY;
+			return Action.STAY;
 		}
 		this.askedMs = nowMs;
-		return Step.ASK;
+		return Action.ASK;
 	}
 
 	/**
 	 * Return whether this VM knows what the store says from where it should.
 	 * @return false while neither its source nor the store tells it
 	 */
-	public boolean told() {
+	public boolean hasFreshSource() {
 		return this.unfitSinceMs == NEVER;
 	}
 
-	private Step followIfSettled(String wanted, boolean serving, long mostAgeMs, long nowMs) {
-		long settleMs = reading() ? SETTLE_MS : 0;
-		boolean settled = health(wanted).fitForMs(mostAgeMs, nowMs) >= settleMs && (serving || !reading());
+	private Action followIfSettled(String wanted, boolean serving, long mostAgeMs, long nowMs) {
+		long settleMs = isReadingStore() ? SETTLE_MS : 0;
+		boolean settled = health(wanted).fitForMs(mostAgeMs, nowMs) >= settleMs && (serving || !isReadingStore());
 		if (this.source.equals(wanted) || !settled) {
-			return Step.STAY;
+			return Action.STAY;
 		}
 		this.source = wanted;
-		return Step.FOLLOW;
+		return Action.FOLLOW;
 	}
 
-	private long readFromMs(DutyView view, boolean asHolder, boolean othersKnown, long nowMs) {
+	private long readFromMs(LeaderView view, boolean asHolder, boolean othersKnown, long nowMs) {
 		if (!this.source.isEmpty()) {
 			return this.unfitSinceMs + (asHolder ? 0 : GRACE_MS);
 		}
@@ -297,8 +298,8 @@
 		return this.recordedMs + startWaitMs(ahead(view, nowMs));
 	}
 
-	private int ahead(DutyView view, long nowMs) {
-		return Math.min(view.ahead(this.relay, nowMs), view.ahead(Duty.READ, nowMs));
+	private int ahead(LeaderView view, long nowMs) {
+		return Math.min(view.countAhead(this.relay, nowMs), view.countAhead(LeaderRole.READ, nowMs));
 	}
 
 	private static long startWaitMs(int ahead) {
@@ -313,7 +314,7 @@
 	 * Return whether this VM reads the store itself.
 	 * @return false if it is told by another VM, or by none yet
 	 */
-	public boolean reading() {
+	public boolean isReadingStore() {
 		return this.source.equals(this.vm);
 	}
 
@@ -331,7 +332,7 @@
 	 * @param nowMs the steady clock
 	 * @return false while nobody that the store answered has told it
 	 */
-	public boolean passesOn(long nowMs) {
+	public boolean canRelay(long nowMs) {
 		return storeAgeMs(nowMs) <= Integer.MAX_VALUE;
 	}
 
@@ -341,14 +342,14 @@
 	 * @return milliseconds; more than an {@code int} holds if it never did
 	 */
 	public long storeAgeMs(long nowMs) {
-		if (reading()) {
+		if (isReadingStore()) {
 			return nowMs - this.contactMs;
 		}
 		return this.source.isEmpty() ? Long.MAX_VALUE : health(this.source).ageMs(nowMs);
 	}
 
 	/** What a review leads to. */
-	public enum Step {
+	public enum Action {
 
 		/** All stays as it is. */
 		STAY,
--- a/core/src/main/java/org/tallycart/core/ini/IniText.java
+++ b/core/src/main/java/org/tallycart/core/ini/IniParser.java
@@ -22,9 +22,9 @@
  *
  * @since 0.1
  */
-public final class IniText {
+public final class IniParser {
 
-	private IniText() {
+	private IniParser() {
 	}
 
 	/**
@@ -127,7 +127,7 @@
 	 * @param sections sections of all files
 	 * @return one problem for each second section of a name
 	 */
-	public static List<Problem> repeated(List<IniSection> sections) {
+	public static List<Problem> findDuplicateSections(List<IniSection> sections) {
 		Set<String> seen = new HashSet<>();
 		List<Problem> problems = new ArrayList<>();
 		for (IniSection section : sections) {
--- a/core/src/main/java/org/tallycart/core/ini/SectionReader.java
+++ b/core/src/main/java/org/tallycart/core/ini/SectionReader.java
@@ -73,7 +73,7 @@
 	 * @param fallback the default, or null if the key must be there
 	 * @return the value
 	 */
-	public <E extends Enum<E>> E word(String key, Class<E> type, E fallback) {
+	public <E extends Enum<E>> E enumValue(String key, Class<E> type, E fallback) {
 		Optional<String> value = value(key);
 		if (value.isEmpty()) {
 			return fallback;
@@ -222,7 +222,7 @@
 	/**
 	 * Report every key of the section that nothing has read.
 	 */
-	public void finish() {
+	public void reportUnknownKeys() {
 		for (String key : this.section.values().keySet()) {
 			if (!this.known.contains(key)) {
 				problem(key, "is not a key of [" + this.section.kind() + "]",
--- a/core/src/main/java/org/tallycart/core/limit/ShareHome.java
+++ b/core/src/main/java/org/tallycart/core/limit/ShareAllocator.java
@@ -15,7 +15,7 @@
  *
  * @since 0.1
  */
-public final class ShareHome {
+public final class ShareAllocator {
 
 	/** Part of a limit that is set aside for VMs that hear nothing. */
 	public static final double SAFE_PART = 0.2;
@@ -35,7 +35,7 @@
 
 	private final Map<String, Grant> grants = new HashMap<>();
 
-	private ShareHome(long grantsFromMs) {
+	private ShareAllocator(long grantsFromMs) {
 		this.grantsFromMs = grantsFromMs;
 	}
 
@@ -44,8 +44,8 @@
 	 * @param nowMs the monotonic clock now
 	 * @return the home
 	 */
-	public static ShareHome create(long nowMs) {
-		return new ShareHome(nowMs + GRANT_MS + GRANT_MARGIN_MS);
+	public static ShareAllocator create(long nowMs) {
+		return new ShareAllocator(nowMs + GRANT_MS + GRANT_MARGIN_MS);
 	}
 
 	/**
@@ -55,7 +55,7 @@
 	 * @param nowMs the monotonic clock now
 	 * @return the rate the VM may use beside its safe share
 	 */
-	public double grant(ShareRequest request, double limit, long nowMs) {
+	public double allocate(ShareRequest request, double limit, long nowMs) {
 		double grantable = limit * (1 - SAFE_PART);
 		if (nowMs < this.grantsFromMs) {
 			return 0;
@@ -71,7 +71,7 @@
 		// The answer can be lost, and then the VM goes on with what it holds.
 		double counted = Math.max(rate, request.holdsPerSecond());
 		this.grants.put(request.vm(), new Grant(counted, demand, nowMs + GRANT_MS + GRANT_MARGIN_MS));
-		InvariantViolation.unless(others + rate <= grantable + TOLERANCE || rate == 0,
+		InvariantViolation.check(others + rate <= grantable + TOLERANCE || rate == 0,
 				request.workspace() + ": grants exceed the limit");
 		return rate;
 	}
--- a/core/src/main/java/org/tallycart/core/limit/ShareHolder.java
+++ b/core/src/main/java/org/tallycart/core/limit/ShareLimiter.java
@@ -8,7 +8,7 @@
  *
  * @since 0.1
  */
-public final class ShareHolder {
+public final class ShareLimiter {
 
 	private static final double BURST_SECONDS = 0.5;
 
@@ -30,7 +30,7 @@
 
 	private long askedMs = Long.MIN_VALUE;
 
-	private ShareHolder(long nowMs) {
+	private ShareLimiter(long nowMs) {
 		this.bucket = TokenBucket.create(0, 1, nowMs);
 		this.countedFromMs = nowMs;
 	}
@@ -40,8 +40,8 @@
 	 * @param nowMs the monotonic clock now
 	 * @return the holder
 	 */
-	public static ShareHolder create(long nowMs) {
-		return new ShareHolder(nowMs);
+	public static ShareLimiter create(long nowMs) {
+		return new ShareLimiter(nowMs);
 	}
 
 	/**
@@ -51,9 +51,9 @@
 	 * @param nowMs the monotonic clock now
 	 * @return whether it may enter
 	 */
-	public boolean tryEnter(double limit, int vmCount, long nowMs) {
+	public boolean tryAcquire(double limit, int vmCount, long nowMs) {
 		this.arrivals++;
-		double safe = limit * ShareHome.SAFE_PART / Math.max(vmCount, 1);
+		double safe = limit * ShareAllocator.SAFE_PART / Math.max(vmCount, 1);
 		double rate = safe + ((nowMs < this.grantedUntilMs) ? this.granted : 0);
 		this.bucket.change(rate, Math.max(rate * BURST_SECONDS, 1), nowMs);
 		return this.bucket.tryTake(nowMs);
@@ -76,7 +76,7 @@
 	 * @param nowMs the monotonic clock now
 	 * @return what to ask
 	 */
-	public ShareRequest ask(String workspace, String vm, long nowMs) {
+	public ShareRequest createRequest(String workspace, String vm, long nowMs) {
 		long elapsed = nowMs - this.countedFromMs;
 		if (elapsed > 0) {
 			double latest = this.arrivals * MILLIS / elapsed;
@@ -85,7 +85,8 @@
 			this.countedFromMs = nowMs;
 		}
 		this.askedMs = nowMs;
-		this.granted = (nowMs < this.grantedUntilMs) ? Math.min(this.granted, this.demand * ShareHome.HEADROOM) : 0;
+		this.granted = (nowMs < this.grantedUntilMs) ? Math.min(this.granted, this.demand * ShareAllocator.HEADROOM)
+				: 0;
 		return new ShareRequest(workspace, vm, this.demand, this.granted);
 	}
 
@@ -97,7 +98,7 @@
 	public void onGrant(double rate, long answersMs) {
 		if (answersMs == this.askedMs) {
 			this.granted = rate;
-			this.grantedUntilMs = answersMs + ShareHome.GRANT_MS;
+			this.grantedUntilMs = answersMs + ShareAllocator.GRANT_MS;
 		}
 	}
 
--- a/core/src/main/java/org/tallycart/core/limit/NamedLimits.java
+++ b/core/src/main/java/org/tallycart/core/limit/StatedLimits.java
@@ -18,7 +18,7 @@
  *
  * @since 0.1
  */
-public final class NamedLimits {
+public final class StatedLimits {
 
 	/**
 	 * A limit that differs by less than this share from the one told last is no news: the
@@ -32,7 +32,7 @@
 	 */
 	private static final long LIFTED_MS = 30_000;
 
-	private final Map<String, Known> limits = new HashMap<>();
+	private final Map<String, TrackedLimit> limits = new HashMap<>();
 
 	/**
 	 * Take what was said of an upstream's limit.
@@ -42,14 +42,15 @@
 	 * @param nowMs the steady clock
 	 * @return whether others should hear of it
 	 */
-	public boolean hear(String incarnation, OptionalDouble perSecond, HybridTimestamp said, long nowMs) {
-		Known known = this.limits.get(incarnation);
+	public boolean merge(String incarnation, OptionalDouble perSecond, HybridTimestamp said, long nowMs) {
+		TrackedLimit known = this.limits.get(incarnation);
 		if ((known == null && perSecond.isEmpty()) || (known != null && known.named.said.compareTo(said) >= 0)) {
 			return false;
 		}
 		OptionalDouble told = (known != null) ? known.told : OptionalDouble.empty();
 		boolean news = news(told, perSecond);
-		this.limits.put(incarnation, new Known(new Named(perSecond, said), news ? perSecond : told, nowMs));
+		this.limits.put(incarnation,
+				new TrackedLimit(new LimitStatement(perSecond, said), news ? perSecond : told, nowMs));
 		return news;
 	}
 
@@ -66,7 +67,7 @@
 	 * @return requests a second; empty if it has named none, or taken it back
 	 */
 	public OptionalDouble perSecond(String incarnation) {
-		return known(incarnation).perSecond;
+		return latest(incarnation).perSecond;
 	}
 
 	/**
@@ -74,9 +75,9 @@
 	 * @param incarnation the upstream
 	 * @return what it has said last
 	 */
-	public Named known(String incarnation) {
-		Known known = this.limits.get(incarnation);
-		return (known != null) ? known.named : Named.NOTHING;
+	public LimitStatement latest(String incarnation) {
+		TrackedLimit known = this.limits.get(incarnation);
+		return (known != null) ? known.named : LimitStatement.NOTHING;
 	}
 
 	/**
@@ -91,7 +92,7 @@
 	 * Return all that is known.
 	 * @return what each upstream has said last, by its incarnation
 	 */
-	public Map<String, Named> all() {
+	public Map<String, LimitStatement> snapshot() {
 		return this.limits.entrySet()
 			.stream()
 			.collect(Collectors.toUnmodifiableMap(Map.Entry::getKey, (entry) -> entry.getValue().named));
@@ -112,7 +113,7 @@
 	 */
 	public void expire(Predicate<String> listed, long nowMs) {
 		this.limits.entrySet().removeIf((entry) -> {
-			Known known = entry.getValue();
+			TrackedLimit known = entry.getValue();
 			boolean old = nowMs - known.learnedMs > LIFTED_MS;
 			return old && (known.named.perSecond.isEmpty() || !listed.test(entry.getKey()));
 		});
@@ -125,7 +126,7 @@
 	 * @param told the limit that others were told last; empty if none
 	 * @param learnedMs when this VM learned what it said last
 	 */
-	private record Known(Named named, OptionalDouble told, long learnedMs) {
+	private record TrackedLimit(LimitStatement named, OptionalDouble told, long learnedMs) {
 	}
 
 	/**
@@ -134,10 +135,10 @@
 	 * @param perSecond requests a second; empty if it has taken its limit back
 	 * @param said when that was heard from the upstream, by whichever VM heard it
 	 */
-	public record Named(OptionalDouble perSecond, HybridTimestamp said) {
+	public record LimitStatement(OptionalDouble perSecond, HybridTimestamp said) {
 
 		/** Nothing was ever heard. */
-		public static final Named NOTHING = new Named(OptionalDouble.empty(), HybridTimestamp.ZERO);
+		public static final LimitStatement NOTHING = new LimitStatement(OptionalDouble.empty(), HybridTimestamp.ZERO);
 
 	}
 
--- a/core/src/main/java/org/tallycart/core/limit/RateGrants.java
+++ b/core/src/main/java/org/tallycart/core/limit/UpstreamRateLimiter.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-public final class RateGrants {
+public final class UpstreamRateLimiter {
 
 	/**
 	 * Requests that are stored while nobody asks. The platform tolerates five beside one
@@ -37,7 +37,7 @@
 	/** What was not asked for this long is dropped, in milliseconds. */
 	private static final long FORGET_MS = 60_000;
 
-	private final Map<String, Source> sources = new HashMap<>();
+	private final Map<String, UpstreamBucket> sources = new HashMap<>();
 
 	/**
 	 * Ask for one request.
@@ -48,7 +48,7 @@
 	 * @param nowMs the steady clock
 	 * @return the answer
 	 */
-	public Permit take(String incarnation, double perSecond, double share, long patienceMs, long nowMs) {
+	public Permit acquire(String incarnation, double perSecond, double share, long patienceMs, long nowMs) {
 		TokenBucket bucket = bucket(incarnation, perSecond, share, nowMs);
 		long waitMs = bucket.waitMs();
 		return bucket.tryReserve(patienceMs, nowMs) ? Permit.granted(waitMs)
@@ -56,19 +56,19 @@
 	}
 
 	/**
-	 * Return whether {@link #take} would grant a request that does not wait.
+	 * Return whether {@link #acquire} would grant a request that does not wait.
 	 * @param incarnation the upstream
 	 * @param perSecond its limit
 	 * @param share the part of the limit that this VM may grant, from 0 to 1
 	 * @param nowMs the steady clock
 	 * @return true if it would
 	 */
-	public boolean available(String incarnation, double perSecond, double share, long nowMs) {
+	public boolean isAvailable(String incarnation, double perSecond, double share, long nowMs) {
 		return bucket(incarnation, perSecond, share, nowMs).available(nowMs);
 	}
 
 	private TokenBucket bucket(String incarnation, double perSecond, double share, long nowMs) {
-		Source source = this.sources.computeIfAbsent(incarnation, (key) -> new Source(nowMs));
+		UpstreamBucket source = this.sources.computeIfAbsent(incarnation, (key) -> new UpstreamBucket(nowMs));
 		source.askedMs = nowMs;
 		int burst = (share < 1) ? PART_BURST : BURST;
 		source.bucket.change(Math.max(perSecond, LEAST_PER_SECOND) * share, burst, nowMs);
@@ -84,13 +84,13 @@
 	}
 
 	/** What may be sent to one upstream. */
-	private static final class Source {
+	private static final class UpstreamBucket {
 
 		private final TokenBucket bucket;
 
 		private long askedMs;
 
-		Source(long nowMs) {
+		UpstreamBucket(long nowMs) {
 			this.bucket = TokenBucket.createEmpty(nowMs);
 		}
 
--- a/core/src/main/java/org/tallycart/core/membership/RankedName.java
+++ b/core/src/main/java/org/tallycart/core/membership/HashedName.java
@@ -9,15 +9,15 @@
  * @param hash its hash
  * @since 0.1
  */
-public record RankedName(String name, long hash) {
+public record HashedName(String name, long hash) {
 
 	/**
 	 * Hash a name.
 	 * @param name the name
 	 * @return the name and its hash
 	 */
-	public static RankedName of(String name) {
-		return new RankedName(name, RendezvousHash.hash(name));
+	public static HashedName of(String name) {
+		return new HashedName(name, RendezvousHash.hash(name));
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/membership/PeerTable.java
+++ b/core/src/main/java/org/tallycart/core/membership/PeerTable.java
@@ -37,7 +37,7 @@
 	 * @param news the news
 	 * @return whether it was taken; false if it is of an earlier incarnation
 	 */
-	public boolean hear(Peer news) {
+	public boolean update(Peer news) {
 		Peer known = this.peers.get(news.vm());
 		if (known != null && known.incarnation() > news.incarnation()) {
 			return false;
--- a/core/src/main/java/org/tallycart/core/membership/RendezvousHash.java
+++ b/core/src/main/java/org/tallycart/core/membership/RendezvousHash.java
@@ -47,13 +47,13 @@
 	 * @param name gives a candidate's name
 	 * @return the first, or empty if there is no candidate
 	 */
-	public static <T> Optional<T> first(String subject, Collection<T> candidates, Function<T, RankedName> name) {
+	public static <T> Optional<T> first(String subject, Collection<T> candidates, Function<T, HashedName> name) {
 		long seed = hash(subject);
 		Optional<T> first = Optional.empty();
-		RankedName firstName = new RankedName("", 0);
+		HashedName firstName = new HashedName("", 0);
 		long firstWeight = Long.MIN_VALUE;
 		for (T candidate : candidates) {
-			RankedName candidateName = name.apply(candidate);
+			HashedName candidateName = name.apply(candidate);
 			long weight = mix(seed ^ candidateName.hash());
 			boolean equal = weight == firstWeight && candidateName.name().compareTo(firstName.name()) > 0;
 			if (first.isEmpty() || weight > firstWeight || equal) {
--- a/core/src/main/java/org/tallycart/core/membership/WatcherSelection.java
+++ b/core/src/main/java/org/tallycart/core/membership/WatcherSelection.java
@@ -27,7 +27,7 @@
 	 * @param list the list of VMs
 	 * @return true if it is, or if its domain has no VM in the list
 	 */
-	public static boolean watches(String vm, String domain, VmList list) {
+	public static boolean isWatcher(String vm, String domain, VmList list) {
 		Map<String, List<String>> byDomain = list.withRole(Vm.ROLE_ENTRY)
 			.stream()
 			.filter((other) -> other.state() == VmState.LIVE)
--- a/core/src/main/java/org/tallycart/core/outcome/RequestLedger.java
+++ b/core/src/main/java/org/tallycart/core/outcome/AttemptTracker.java
@@ -17,7 +17,7 @@
  *
  * @since 0.1
  */
-public final class RequestLedger {
+public final class AttemptTracker {
 
 	private final String requestId;
 
@@ -31,9 +31,9 @@
 
 	private int lateResults;
 
-	private @Nullable Ending ending;
+	private @Nullable RequestResult ending;
 
-	private RequestLedger(String requestId, boolean repeatable) {
+	private AttemptTracker(String requestId, boolean repeatable) {
 		this.requestId = requestId;
 		this.repeatable = repeatable;
 	}
@@ -44,8 +44,8 @@
 	 * @param repeatable whether its stage calls may be repeated
 	 * @return an empty ledger
 	 */
-	public static RequestLedger open(String requestId, boolean repeatable) {
-		return new RequestLedger(requestId, repeatable);
+	public static AttemptTracker create(String requestId, boolean repeatable) {
+		return new AttemptTracker(requestId, repeatable);
 	}
 
 	/**
@@ -76,7 +76,7 @@
 		attempt.state = AttemptState.BEGUN;
 		attempt.hadBegun = true;
 		this.begun++;
-		InvariantViolation.unless(this.repeatable || runsOf(attempt.stage) == 1,
+		InvariantViolation.check(this.repeatable || runsOf(attempt.stage) == 1,
 				this.requestId + ": a call that may not be repeated began twice");
 		return true;
 	}
@@ -95,7 +95,7 @@
 		}
 		attempt.state = AttemptState.SUCCEEDED;
 		Integer before = this.accepted.put(attempt.stage, number);
-		InvariantViolation.unless(before == null, this.requestId + ": stage " + attempt.stage + " has two results");
+		InvariantViolation.check(before == null, this.requestId + ": stage " + attempt.stage + " has two results");
 		return true;
 	}
 
@@ -121,16 +121,16 @@
 	 * @param wanted the ending that the caller of this method proposes
 	 * @return the ending to tell, the same at every later call
 	 */
-	public synchronized Ending end(Ending wanted) {
+	public synchronized RequestResult end(RequestResult wanted) {
 		if (this.ending == null) {
 			this.ending = truthful(wanted);
-			InvariantViolation.unless(this.ending.outcome() != Outcome.NOT_RUN || this.begun == refusedCount(),
+			InvariantViolation.check(this.ending.outcome() != Outcome.NOT_RUN || this.begun == refusedCount(),
 					this.requestId + ": told NOT_RUN after a call had begun");
 		}
 		return this.ending;
 	}
 
-	private Ending truthful(Ending wanted) {
+	private RequestResult truthful(RequestResult wanted) {
 		Outcome outcome = wanted.outcome();
 		if (outcome == Outcome.COMPLETE || outcome == Outcome.UNKNOWN) {
 			return wanted;
@@ -141,7 +141,7 @@
 		else {
 			outcome = (this.begun == refusedCount() && outcome == Outcome.NOT_RUN) ? Outcome.NOT_RUN : Outcome.FAILED;
 		}
-		return new Ending(outcome, wanted.reason(), wanted.detail(), wanted.retryAfterMs());
+		return new RequestResult(outcome, wanted.reason(), wanted.detail(), wanted.retryAfterMs());
 	}
 
 	private long runsOf(String stage) {
--- a/core/src/main/java/org/tallycart/core/outcome/InvariantViolation.java
+++ b/core/src/main/java/org/tallycart/core/outcome/InvariantViolation.java
@@ -18,7 +18,7 @@
 	 * @param condition the condition
 	 * @param message what was broken
 	 */
-	public static void unless(boolean condition, String message) {
+	public static void check(boolean condition, String message) {
 		if (!condition) {
 			throw new InvariantViolation(message);
 		}
@@ -31,7 +31,7 @@
 	 * @param message what is broken if it is not there
 	 * @return the value
 	 */
-	public static <T> T present(@Nullable T value, String message) {
+	public static <T> T requirePresent(@Nullable T value, String message) {
 		if (value == null) {
 			throw new InvariantViolation(message);
 		}
--- a/core/src/main/java/org/tallycart/core/outcome/Ending.java
+++ b/core/src/main/java/org/tallycart/core/outcome/RequestResult.java
@@ -9,14 +9,14 @@
  * @param retryAfterMs when to come back, in milliseconds; 0 where that does not help
  * @since 0.1
  */
-public record Ending(Outcome outcome, Reason reason, String detail, long retryAfterMs) {
+public record RequestResult(Outcome outcome, Reason reason, String detail, long retryAfterMs) {
 
 	/**
 	 * Create the ending of a whole answer.
 	 * @return the ending
 	 */
-	public static Ending complete() {
-		return new Ending(Outcome.COMPLETE, Reason.OK, "", 0);
+	public static RequestResult complete() {
+		return new RequestResult(Outcome.COMPLETE, Reason.OK, "", 0);
 	}
 
 	/**
@@ -26,8 +26,8 @@
 	 * @param detail a short text for people
 	 * @return the ending
 	 */
-	public static Ending of(Outcome outcome, Reason reason, String detail) {
-		return new Ending(outcome, reason, detail, 0);
+	public static RequestResult of(Outcome outcome, Reason reason, String detail) {
+		return new RequestResult(outcome, reason, detail, 0);
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/outcome/UnexpectedError.java
+++ b/core/src/main/java/org/tallycart/core/outcome/UncaughtErrorReporter.java
@@ -10,9 +10,9 @@
  *
  * @since 0.1
  */
-public final class UnexpectedError {
+public final class UncaughtErrorReporter {
 
-	private UnexpectedError() {
+	private UncaughtErrorReporter() {
 	}
 
 	/**
--- a/core/src/main/java/org/tallycart/core/pool/CallChooser.java
+++ b/core/src/main/java/org/tallycart/core/pool/BatchSelector.java
@@ -26,7 +26,7 @@
  * <p>
  * Not thread-safe: made for one choice.
  */
-final class CallChooser {
+final class BatchSelector {
 
 	/**
 	 * What a request still needs after its last piece, in milliseconds: reading its
@@ -46,7 +46,7 @@
 
 	private final Collection<PoolWorker> workers;
 
-	private final ResultRoom room;
+	private final ResultMemory room;
 
 	private final int idle;
 
@@ -54,7 +54,7 @@
 
 	private final Map<String, Integer> leftToOthers = new HashMap<>();
 
-	CallChooser(PoolSpec spec, Collection<PoolWorker> workers, ResultRoom room, int idle, long nowMs) {
+	BatchSelector(PoolSpec spec, Collection<PoolWorker> workers, ResultMemory room, int idle, long nowMs) {
 		this.spec = spec;
 		this.workers = workers;
 		this.room = room;
@@ -66,23 +66,23 @@
 		return job.objectiveMs() >= this.nowMs + (long) this.spec.expectedMs(1) + MARGIN_MS;
 	}
 
-	List<Waiting> choose(PoolWorker worker, List<Waiting> queue) {
-		List<Waiting> chosen = new ArrayList<>();
-		Set<Waiting> seen = new HashSet<>();
-		List<List<Waiting>> left = new ArrayList<>();
+	List<PendingPiece> choose(PoolWorker worker, List<PendingPiece> queue) {
+		List<PendingPiece> chosen = new ArrayList<>();
+		Set<PendingPiece> seen = new HashSet<>();
+		List<List<PendingPiece>> left = new ArrayList<>();
 		long roomLeft = this.spec.roomBytes() - this.room.taken(worker.entry().incarnation());
 		this.leftToOthers.clear();
-		Map<PieceStage, List<Waiting>> groups = groups(queue);
-		for (Waiting first : queue) {
+		Map<StageKey, List<PendingPiece>> groups = groups(queue);
+		for (PendingPiece first : queue) {
 			if (chosen.size() >= this.spec.batch()) {
 				break;
 			}
 			if (!seen.add(first)) {
 				continue;
 			}
-			List<Waiting> group = groups.getOrDefault(PieceStage.of(first), List.of(first));
+			List<PendingPiece> group = groups.getOrDefault(StageKey.of(first), List.of(first));
 			seen.addAll(group);
-			List<Waiting> wanted = group.subList(0, Math.min(group.size(), this.spec.batch()));
+			List<PendingPiece> wanted = group.subList(0, Math.min(group.size(), this.spec.batch()));
 			boolean fits = chosen.size() + wanted.size() <= this.spec.batch() && bytes(wanted) <= roomLeft;
 			if (!fits && wanted.size() > 1) {
 				left.add(wanted);
@@ -99,14 +99,14 @@
 		return chosen;
 	}
 
-	private void fill(List<Waiting> chosen, List<List<Waiting>> left, PoolWorker worker, long roomLeft) {
+	private void fill(List<PendingPiece> chosen, List<List<PendingPiece>> left, PoolWorker worker, long roomLeft) {
 		long room = roomLeft;
-		for (List<Waiting> group : left) {
+		for (List<PendingPiece> group : left) {
 			int places = this.spec.batch() - chosen.size();
 			if (places == 0) {
 				return;
 			}
-			List<Waiting> part = group.subList(0, Math.min(group.size(), places));
+			List<PendingPiece> part = group.subList(0, Math.min(group.size(), places));
 			if (bytes(part) <= room && mayGo(part, worker)) {
 				room -= bytes(part);
 				chosen.addAll(part);
@@ -114,26 +114,26 @@
 		}
 	}
 
-	private static long bytes(List<Waiting> group) {
+	private static long bytes(List<PendingPiece> group) {
 		return group.stream().mapToLong((waiting) -> waiting.job().resultBytes()).sum();
 	}
 
-	private static Map<PieceStage, List<Waiting>> groups(List<Waiting> queue) {
-		Map<PieceStage, List<Waiting>> groups = new HashMap<>();
-		for (Waiting waiting : queue) {
+	private static Map<StageKey, List<PendingPiece>> groups(List<PendingPiece> queue) {
+		Map<StageKey, List<PendingPiece>> groups = new HashMap<>();
+		for (PendingPiece waiting : queue) {
 			if (waiting.job().together()) {
-				groups.computeIfAbsent(PieceStage.of(waiting), (key) -> new ArrayList<>()).add(waiting);
+				groups.computeIfAbsent(StageKey.of(waiting), (key) -> new ArrayList<>()).add(waiting);
 			}
 		}
 		return groups;
 	}
 
-	private boolean mayGo(List<Waiting> group, PoolWorker worker) {
+	private boolean mayGo(List<PendingPiece> group, PoolWorker worker) {
 		return group.stream().allMatch((waiting) -> waiting.mayGoTo(worker.entry().incarnation()))
 				&& !betterElsewhere(group.get(0), worker);
 	}
 
-	private boolean betterElsewhere(Waiting waiting, PoolWorker worker) {
+	private boolean betterElsewhere(PendingPiece waiting, PoolWorker worker) {
 		PieceJob job = waiting.job();
 		if (job.movedBytes() < PieceJob.MUCH_MOVED_BYTES
 				|| job.failureDomain().equals(worker.entry().failureDomain())) {
@@ -157,10 +157,10 @@
 	 * @param requestId the request
 	 * @param stage the stage's number
 	 */
-	private record PieceStage(String requestId, int stage) {
+	private record StageKey(String requestId, int stage) {
 
-		static PieceStage of(Waiting waiting) {
-			return new PieceStage(waiting.job().id().requestId(), waiting.job().id().stage());
+		static StageKey of(PendingPiece waiting) {
+			return new StageKey(waiting.job().id().requestId(), waiting.job().id().stage());
 		}
 
 	}
--- a/core/src/main/java/org/tallycart/core/pool/CallLimit.java
+++ b/core/src/main/java/org/tallycart/core/pool/CallLimiter.java
@@ -10,10 +10,10 @@
  *
  * @since 0.1
  */
-public interface CallLimit {
+public interface CallLimiter {
 
 	/** No worker has a limit. */
-	CallLimit NONE = new CallLimit() {
+	CallLimiter NONE = new CallLimiter() {
 
 		@Override
 		public boolean mayCall(UpstreamEntry worker) {
@@ -43,7 +43,7 @@
 	 * Return when a worker takes calls from this VM, by its own word.
 	 * @param worker the worker
 	 * @return milliseconds; 0 if it takes them now,
-	 * {@link org.tallycart.core.upstream.StatedAbsences#NEVER} if it leaves
+	 * {@link org.tallycart.core.upstream.UnavailabilityRegistry#NEVER} if it leaves
 	 */
 	long acceptsInMs(UpstreamEntry worker);
 
--- a/core/src/main/java/org/tallycart/core/pool/Waiting.java
+++ b/core/src/main/java/org/tallycart/core/pool/PendingPiece.java
@@ -8,19 +8,19 @@
  * <p>
  * Not thread-safe: guarded by {@link PoolDispatcher}.
  */
-final class Waiting {
+final class PendingPiece {
 
 	private final PieceJob job;
 
 	private final Set<String> failedAt = new HashSet<>();
 
-	private PieceAsker asker;
+	private PieceListener asker;
 
 	private int calls;
 
 	private boolean inputsRead;
 
-	Waiting(PieceJob job, PieceAsker asker) {
+	PendingPiece(PieceJob job, PieceListener asker) {
 		this.job = job;
 		this.asker = asker;
 	}
@@ -29,7 +29,7 @@
 		return this.job;
 	}
 
-	void replaceAsker(PieceAsker other) {
+	void replaceAsker(PieceListener other) {
 		this.asker = other;
 	}
 
--- a/core/src/main/java/org/tallycart/core/pool/PieceJob.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceJob.java
@@ -43,7 +43,7 @@
 	 * @param service the pool
 	 * @return a builder; what it is not told is empty, zero or false
 	 */
-	public static Builder of(PieceId id, String service) {
+	public static Builder builder(PieceId id, String service) {
 		return new Builder(id, service);
 	}
 
@@ -86,7 +86,7 @@
 		 * @param request what names the request whatever its id
 		 * @return this builder
 		 */
-		public Builder of(Fingerprint request) {
+		public Builder fingerprint(Fingerprint request) {
 			this.fingerprint = request;
 			return this;
 		}
@@ -97,7 +97,7 @@
 		 * @param handles results of the stages before it
 		 * @return this builder
 		 */
-		public Builder from(String pieceKey, List<String> handles) {
+		public Builder source(String pieceKey, List<String> handles) {
 			this.key = pieceKey;
 			this.inputs = handles;
 			return this;
@@ -109,7 +109,7 @@
 		 * @param uselessFromMs for it to be of any use, on the steady clock
 		 * @return this builder
 		 */
-		public Builder needed(long byMs, long uselessFromMs) {
+		public Builder dueBy(long byMs, long uselessFromMs) {
 			this.objectiveMs = byMs;
 			this.deadlineMs = uselessFromMs;
 			return this;
@@ -131,7 +131,7 @@
 		 * @param bytes what crosses failure domains if it is made in another one
 		 * @return this builder
 		 */
-		public Builder wantedIn(String domain, long bytes) {
+		public Builder preferredDomain(String domain, long bytes) {
 			this.failureDomain = domain;
 			this.movedBytes = bytes;
 			return this;
--- a/core/src/main/java/org/tallycart/core/pool/StageTimes.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceLatencyEstimator.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-public final class StageTimes {
+public final class PieceLatencyEstimator {
 
 	/**
 	 * What a piece takes where nothing is known, in milliseconds: a call and a short wait
@@ -27,17 +27,18 @@
 	 */
 	private static final long RECENT_MS = 1_000;
 
-	private final Map<Rank, Track> tracks = new HashMap<>();
+	private final Map<PoolPriority, LatencyRecord> tracks = new HashMap<>();
 
-	private final Map<PieceId, Track> waitingIn = new HashMap<>();
+	private final Map<PieceId, LatencyRecord> waitingIn = new HashMap<>();
 
 	/**
 	 * Take note that a piece was asked for.
 	 * @param job the piece
 	 * @param nowMs the steady clock
 	 */
-	public void onAsked(PieceJob job, long nowMs) {
-		Track track = this.tracks.computeIfAbsent(new Rank(job.service(), job.priority()), (key) -> new Track());
+	public void onSubmitted(PieceJob job, long nowMs) {
+		LatencyRecord track = this.tracks.computeIfAbsent(new PoolPriority(job.service(), job.priority()),
+				(key) -> new LatencyRecord());
 		if (this.waitingIn.putIfAbsent(job.id(), track) == null) {
 			track.waiting.put(job.id(), nowMs);
 		}
@@ -49,7 +50,7 @@
 	 * @param nowMs the steady clock
 	 */
 	public void onOutcome(PieceId id, long nowMs) {
-		Track track = this.waitingIn.remove(id);
+		LatencyRecord track = this.waitingIn.remove(id);
 		Long askedMs = (track != null) ? track.waiting.remove(id) : null;
 		if (track != null && askedMs != null) {
 			track.lastMs = nowMs - askedMs;
@@ -62,7 +63,7 @@
 	 * @param id the piece
 	 */
 	public void onWithdrawn(PieceId id) {
-		Track track = this.waitingIn.remove(id);
+		LatencyRecord track = this.waitingIn.remove(id);
 		if (track != null) {
 			track.waiting.remove(id);
 		}
@@ -76,7 +77,7 @@
 	 * @return milliseconds
 	 */
 	public long expectedMs(String service, int priority, long nowMs) {
-		Track track = this.tracks.get(new Rank(service, priority));
+		LatencyRecord track = this.tracks.get(new PoolPriority(service, priority));
 		if (track == null) {
 			return USUAL_MS;
 		}
@@ -91,11 +92,11 @@
 	 * @param service the pool
 	 * @param priority the request's rank
 	 */
-	private record Rank(String service, int priority) {
+	private record PoolPriority(String service, int priority) {
 	}
 
 	/** Pieces of one rank in one pool. */
-	private static final class Track {
+	private static final class LatencyRecord {
 
 		// In the order in which they were asked for.
 		private final Map<PieceId, Long> waiting = new LinkedHashMap<>();
--- a/core/src/main/java/org/tallycart/core/pool/PieceAsker.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceListener.java
@@ -6,7 +6,7 @@
  * @since 0.1
  */
 @FunctionalInterface
-public interface PieceAsker {
+public interface PieceListener {
 
 	/**
 	 * Take an outcome.
--- a/core/src/main/java/org/tallycart/core/pool/PieceOutcome.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceOutcome.java
@@ -34,7 +34,7 @@
 	 * @param handle names the result
 	 * @return the outcome
 	 */
-	public static PieceOutcome made(String handle) {
+	public static PieceOutcome completed(String handle) {
 		return new PieceOutcome(Status.MADE, handle, 0);
 	}
 
@@ -43,7 +43,7 @@
 	 * @param status why
 	 * @return the outcome
 	 */
-	public static PieceOutcome notMade(Status status) {
+	public static PieceOutcome notCompleted(Status status) {
 		return new PieceOutcome(status, "", 0);
 	}
 
--- a/core/src/main/java/org/tallycart/core/pool/PoolDispatcher.java
+++ b/core/src/main/java/org/tallycart/core/pool/PoolDispatcher.java
@@ -10,14 +10,14 @@
 import org.tallycart.core.outcome.InvariantViolation;
 import org.tallycart.core.serving.PoolSpec;
 import org.tallycart.core.serving.UpstreamEntry;
-import org.tallycart.core.upstream.StatedAbsences;
+import org.tallycart.core.upstream.UnavailabilityRegistry;
 
 /**
  * Puts the pieces of many requests into calls of one pool's workers.
  * <p>
  * A call costs a fixed time whatever it holds, so pieces wait for company, but only while
- * no worker is idle. {@link QueueOrder} tells which come first, {@link CallChooser} which
- * go together.
+ * no worker is idle. {@link QueueOrder} tells which come first, {@link BatchSelector}
+ * which go together.
  * <p>
  * Invariants: no worker has more calls than slots; a piece is in the queue or in calls,
  * and each asker hears one outcome unless it withdraws; no worker gets a call that leaves
@@ -42,15 +42,15 @@
 
 	private final PoolWorkers workers;
 
-	private final CallLimit limit;
+	private final CallLimiter limit;
 
-	private final Map<PieceId, Waiting> pieces = new HashMap<>();
+	private final Map<PieceId, PendingPiece> pieces = new HashMap<>();
 
-	private final List<Waiting> queue = new ArrayList<>();
+	private final List<PendingPiece> queue = new ArrayList<>();
 
 	private final RunningCalls calls = new RunningCalls();
 
-	private final ResultRoom room = new ResultRoom();
+	private final ResultMemory room = new ResultMemory();
 
 	private PoolSpec spec;
 
@@ -65,7 +65,7 @@
 	 * @param spec what a worker can do
 	 */
 	public PoolDispatcher(PoolSpec spec) {
-		this(spec, CallLimit.NONE);
+		this(spec, CallLimiter.NONE);
 	}
 
 	/**
@@ -74,7 +74,7 @@
 	 * @param spec what a worker can do
 	 * @param limit tells when a worker takes another call
 	 */
-	public PoolDispatcher(PoolSpec spec, CallLimit limit) {
+	public PoolDispatcher(PoolSpec spec, CallLimiter limit) {
 		this.spec = spec;
 		this.limit = limit;
 		this.workers = new PoolWorkers(limit);
@@ -104,13 +104,13 @@
 	 * @param job the piece
 	 * @param asker hears its outcome
 	 */
-	public void ask(PieceJob job, PieceAsker asker) {
-		Waiting known = this.pieces.get(job.id());
+	public void submit(PieceJob job, PieceListener asker) {
+		PendingPiece known = this.pieces.get(job.id());
 		if (known != null) {
 			known.replaceAsker(asker);
 			return;
 		}
-		Waiting waiting = new Waiting(job, asker);
+		PendingPiece waiting = new PendingPiece(job, asker);
 		this.pieces.put(job.id(), waiting);
 		enqueue(waiting);
 	}
@@ -124,7 +124,7 @@
 		new ArrayList<>(this.queue).forEach(this::handBack);
 	}
 
-	private void handBack(Waiting waiting) {
+	private void handBack(PendingPiece waiting) {
 		this.pieces.remove(waiting.job().id());
 		this.queue.remove(waiting);
 		waiting.handBack();
@@ -140,7 +140,7 @@
 	 * @param id the piece
 	 */
 	public void withdraw(PieceId id) {
-		Waiting known = this.pieces.remove(id);
+		PendingPiece known = this.pieces.remove(id);
 		if (known != null) {
 			this.queue.remove(known);
 		}
@@ -162,10 +162,11 @@
 		if (idle.isEmpty()) {
 			return Optional.empty();
 		}
-		CallChooser chooser = new CallChooser(this.spec, this.workers.callable(nowMs), this.room, idle.size(), nowMs);
-		List<Waiting> ordered = order(nowMs).of(this.queue);
+		BatchSelector chooser = new BatchSelector(this.spec, this.workers.callable(nowMs), this.room, idle.size(),
+				nowMs);
+		List<PendingPiece> ordered = order(nowMs).of(this.queue);
 		for (PoolWorker worker : idle) {
-			List<Waiting> chosen = chooser.choose(worker, ordered);
+			List<PendingPiece> chosen = chooser.choose(worker, ordered);
 			if (!chosen.isEmpty()) {
 				return Optional.of(start(worker, chosen, nowMs));
 			}
@@ -177,14 +178,14 @@
 		return new QueueOrder(this.spec, this.workers.available(nowMs), nowMs);
 	}
 
-	private PoolCall start(PoolWorker worker, List<Waiting> chosen, long nowMs) {
+	private PoolCall start(PoolWorker worker, List<PendingPiece> chosen, long nowMs) {
 		this.queue.removeAll(chosen);
 		double expectedMs = this.spec.expectedMs(chosen.size()) * Math.max(worker.pace(), 1);
 		worker.onStart(nowMs, expectedMs);
 		this.limit.onCall(worker.entry());
 		this.lastCall++;
-		List<PieceJob> jobs = chosen.stream().map(Waiting::job).toList();
-		chosen.forEach(Waiting::onCall);
+		List<PieceJob> jobs = chosen.stream().map(PendingPiece::job).toList();
+		chosen.forEach(PendingPiece::onCall);
 		this.room.reserve(worker.entry().incarnation(), resultBytes(jobs));
 		PoolCall call = new PoolCall(this.lastCall, worker.entry(), jobs, nowMs, expectedMs);
 		this.calls.add(call, worker.idleForSure());
@@ -204,7 +205,7 @@
 	 */
 	public List<String> onAnswer(long number, List<PieceOutcome> outcomes, long nowMs) {
 		PoolCall call = end(number);
-		InvariantViolation.unless(outcomes.size() == call.jobs().size(), "a call's outcomes do not match its pieces");
+		InvariantViolation.check(outcomes.size() == call.jobs().size(), "a call's outcomes do not match its pieces");
 		this.workers.find(call.worker()).ifPresent((worker) -> learn(worker, call, outcomes, nowMs));
 		List<String> unused = new ArrayList<>();
 		for (int i = 0; i < outcomes.size(); i++) {
@@ -238,7 +239,7 @@
 	}
 
 	private void onOutcome(PoolCall call, PieceJob job, PieceOutcome outcome, List<String> unused) {
-		Waiting waiting = this.pieces.get(job.id());
+		PendingPiece waiting = this.pieces.get(job.id());
 		if (waiting == null) {
 			if (outcome.status() == PieceOutcome.Status.MADE) {
 				unused.add(outcome.handle());
@@ -264,9 +265,9 @@
 	public void onFailure(long number, boolean begun, long nowMs) {
 		PoolCall call = end(number);
 		this.workers.find(call.worker()).ifPresent((worker) -> worker.onFailed(nowMs));
-		PieceOutcome failed = PieceOutcome.notMade(PieceOutcome.Status.FAILED);
+		PieceOutcome failed = PieceOutcome.notCompleted(PieceOutcome.Status.FAILED);
 		for (PieceJob job : call.jobs()) {
-			Waiting waiting = this.pieces.get(job.id());
+			PendingPiece waiting = this.pieces.get(job.id());
 			if (waiting != null && begun) {
 				tryAgain(waiting, call.worker().incarnation(), failed);
 			}
@@ -284,9 +285,9 @@
 		return call;
 	}
 
-	private void tryAgain(Waiting waiting, String failedAt, PieceOutcome outcome) {
+	private void tryAgain(PendingPiece waiting, String failedAt, PieceOutcome outcome) {
 		if (waiting.inputsRead()) {
-			settle(waiting, PieceOutcome.notMade(PieceOutcome.Status.INPUT_GONE));
+			settle(waiting, PieceOutcome.notCompleted(PieceOutcome.Status.INPUT_GONE));
 			return;
 		}
 		waiting.onFailedAt(failedAt);
@@ -298,7 +299,7 @@
 		enqueue(waiting);
 	}
 
-	private void enqueue(Waiting waiting) {
+	private void enqueue(PendingPiece waiting) {
 		if (this.stopped) {
 			handBack(waiting);
 		}
@@ -307,7 +308,7 @@
 		}
 	}
 
-	private void settle(Waiting waiting, PieceOutcome outcome) {
+	private void settle(PendingPiece waiting, PieceOutcome outcome) {
 		this.pieces.remove(waiting.job().id());
 		this.queue.remove(waiting);
 		waiting.settle(outcome);
@@ -328,7 +329,7 @@
 	}
 
 	private void onInputsRead(PieceJob job) {
-		Waiting waiting = this.pieces.get(job.id());
+		PendingPiece waiting = this.pieces.get(job.id());
 		if (waiting != null) {
 			waiting.onInputsRead();
 		}
@@ -337,7 +338,7 @@
 	// Refused now, a caller may come again when there is room; held, it would be refused
 	// in the end.
 	private void giveUpTooMuch(long nowMs) {
-		PieceOutcome late = PieceOutcome.notMade(PieceOutcome.Status.LATE);
+		PieceOutcome late = PieceOutcome.notCompleted(PieceOutcome.Status.LATE);
 		order(nowMs).tooMuch(this.queue).forEach((waiting) -> settle(waiting, late));
 	}
 
@@ -349,15 +350,15 @@
 		}
 		long acceptsInMs = this.workers.acceptsInMs();
 		if (acceptsInMs > 0) {
-			long retryMs = (acceptsInMs == StatedAbsences.NEVER) ? NO_WORKER_RETRY_MS : acceptsInMs;
+			long retryMs = (acceptsInMs == UnavailabilityRegistry.NEVER) ? NO_WORKER_RETRY_MS : acceptsInMs;
 			new ArrayList<>(this.queue).forEach((waiting) -> settle(waiting, PieceOutcome.noWorker(retryMs)));
 		}
 	}
 
 	private void giveUpLate(long nowMs) {
-		PieceOutcome late = PieceOutcome.notMade(PieceOutcome.Status.LATE);
+		PieceOutcome late = PieceOutcome.notCompleted(PieceOutcome.Status.LATE);
 		double shortestMs = this.spec.expectedMs(1);
-		for (Waiting waiting : new ArrayList<>(this.queue)) {
+		for (PendingPiece waiting : new ArrayList<>(this.queue)) {
 			if (nowMs + shortestMs > waiting.job().deadlineMs()) {
 				settle(waiting, late);
 			}
@@ -368,9 +369,9 @@
 		this.workers.find(call.worker())
 			.ifPresent((worker) -> worker.onOverdue(tookMs, this.spec.expectedMs(call.jobs().size())));
 		for (PieceJob job : call.jobs()) {
-			Waiting waiting = this.pieces.get(job.id());
+			PendingPiece waiting = this.pieces.get(job.id());
 			if (waiting != null && waiting.inputsRead()) {
-				settle(waiting, PieceOutcome.notMade(PieceOutcome.Status.INPUT_GONE));
+				settle(waiting, PieceOutcome.notCompleted(PieceOutcome.Status.INPUT_GONE));
 			}
 			else if (waiting != null && waiting.calls() < MAX_CALLS) {
 				waiting.onFailedAt(call.worker().incarnation());
@@ -383,7 +384,7 @@
 	 * Return how many pieces wait for a call.
 	 * @return the count
 	 */
-	public int waiting() {
+	public int queueSize() {
 		return this.queue.size();
 	}
 
--- a/core/src/main/java/org/tallycart/core/pool/PoolWorkers.java
+++ b/core/src/main/java/org/tallycart/core/pool/PoolWorkers.java
@@ -12,7 +12,7 @@
 
 import org.tallycart.core.serving.PoolSpec;
 import org.tallycart.core.serving.UpstreamEntry;
-import org.tallycart.core.upstream.StatedAbsences;
+import org.tallycart.core.upstream.UnavailabilityRegistry;
 
 /**
  * The workers of a pool, and which of them gets the next call.
@@ -33,9 +33,9 @@
 
 	private final Map<String, PoolWorker> workers = new LinkedHashMap<>();
 
-	private final CallLimit limit;
+	private final CallLimiter limit;
 
-	PoolWorkers(CallLimit limit) {
+	PoolWorkers(CallLimiter limit) {
 		this.limit = limit;
 	}
 
@@ -72,7 +72,7 @@
 	// does not leave. Evacuated ones may be taken back at any moment.
 	long acceptsInMs() {
 		if (this.workers.isEmpty()) {
-			return StatedAbsences.NEVER;
+			return UnavailabilityRegistry.NEVER;
 		}
 		return this.workers.values()
 			.stream()
@@ -83,7 +83,7 @@
 	}
 
 	private long acceptsInMs(PoolWorker worker) {
-		return worker.entry().draining() ? StatedAbsences.NEVER : this.limit.acceptsInMs(worker.entry());
+		return worker.entry().draining() ? UnavailabilityRegistry.NEVER : this.limit.acceptsInMs(worker.entry());
 	}
 
 	Set<String> ids() {
@@ -99,7 +99,7 @@
 	}
 
 	// Fast workers come first, and among those the one with most room for results.
-	List<PoolWorker> idle(PoolSpec spec, ResultRoom room, int waiting, long nowMs) {
+	List<PoolWorker> idle(PoolSpec spec, ResultMemory room, int waiting, long nowMs) {
 		List<PoolWorker> idle = new ArrayList<>();
 		Collection<PoolWorker> callable = callable(nowMs);
 		double fastest = callable.stream().mapToDouble(PoolWorker::pace).min().orElse(1);
--- a/core/src/main/java/org/tallycart/core/pool/QueueOrder.java
+++ b/core/src/main/java/org/tallycart/core/pool/QueueOrder.java
@@ -25,12 +25,12 @@
  */
 final class QueueOrder {
 
-	private static final Comparator<Waiting> BY_TIME = Comparator
+	private static final Comparator<PendingPiece> BY_TIME = Comparator
 		.comparingLong((waiting) -> waiting.job().objectiveMs());
 
 	// Among the late, what has inputs is ended before what would begin.
-	private static final Comparator<Waiting> BY_RANK = Comparator
-		.<Waiting>comparingInt((waiting) -> waiting.job().priority())
+	private static final Comparator<PendingPiece> BY_RANK = Comparator
+		.<PendingPiece>comparingInt((waiting) -> waiting.job().priority())
 		.thenComparingInt((waiting) -> waiting.job().inputs().isEmpty() ? 1 : 0)
 		.thenComparing(BY_TIME);
 
@@ -52,10 +52,10 @@
 		this.nowMs = nowMs;
 	}
 
-	List<Waiting> of(Collection<Waiting> queue) {
-		List<Waiting> byTime = byTime(queue);
-		Set<Waiting> givingWay = givingWay(byTime);
-		List<Waiting> ordered = new ArrayList<>(byTime);
+	List<PendingPiece> of(Collection<PendingPiece> queue) {
+		List<PendingPiece> byTime = byTime(queue);
+		Set<PendingPiece> givingWay = givingWay(byTime);
+		List<PendingPiece> ordered = new ArrayList<>(byTime);
 		ordered.removeIf(givingWay::contains);
 		givingWay.stream().sorted(BY_RANK).forEach(ordered::add);
 		return ordered;
@@ -68,23 +68,23 @@
 	 * @param queue what waits
 	 * @return the pieces
 	 */
-	List<Waiting> tooMuch(Collection<Waiting> queue) {
-		List<Waiting> late = givingWay(byTime(queue)).stream().sorted(BY_RANK).toList();
+	List<PendingPiece> tooMuch(Collection<PendingPiece> queue) {
+		List<PendingPiece> late = givingWay(byTime(queue)).stream().sorted(BY_RANK).toList();
 		int kept = (int) (MOST_LATE_WORK_MS * this.workers * this.spec.batch()
 				/ this.spec.expectedMs(this.spec.batch()));
 		return late.stream().skip(kept).filter((waiting) -> waiting.job().inputs().isEmpty()).toList();
 	}
 
-	private static List<Waiting> byTime(Collection<Waiting> queue) {
-		List<Waiting> byTime = new ArrayList<>(queue);
+	private static List<PendingPiece> byTime(Collection<PendingPiece> queue) {
+		List<PendingPiece> byTime = new ArrayList<>(queue);
 		byTime.sort(BY_TIME);
 		return byTime;
 	}
 
-	private Set<Waiting> givingWay(List<Waiting> byTime) {
-		Set<Waiting> givingWay = new HashSet<>();
-		PriorityQueue<Waiting> kept = new PriorityQueue<>(BY_RANK.reversed());
-		for (Waiting waiting : byTime) {
+	private Set<PendingPiece> givingWay(List<PendingPiece> byTime) {
+		Set<PendingPiece> givingWay = new HashSet<>();
+		PriorityQueue<PendingPiece> kept = new PriorityQueue<>(BY_RANK.reversed());
+		for (PendingPiece waiting : byTime) {
 			kept.add(waiting);
 			if (madeMs(kept.size()) > waiting.job().objectiveMs()) {
 				givingWay.add(kept.remove());
--- a/core/src/main/java/org/tallycart/core/pool/ResultRoom.java
+++ b/core/src/main/java/org/tallycart/core/pool/ResultMemory.java
@@ -13,10 +13,10 @@
  * Invariant: room that is taken is given back once, when its result is released or has
  * expired at its maker. Not thread-safe: guarded by {@link PoolDispatcher}.
  */
-final class ResultRoom {
+final class ResultMemory {
 
 	// In the order in which results expire, since all are kept for the same time.
-	private final Map<String, Held> held = new LinkedHashMap<>();
+	private final Map<String, StoredResult> held = new LinkedHashMap<>();
 
 	private final Map<String, Long> taken = new HashMap<>();
 
@@ -30,21 +30,21 @@
 
 	void hold(String worker, String handle, long bytes, long untilMs) {
 		release(handle);
-		this.held.put(handle, new Held(worker, bytes, untilMs));
+		this.held.put(handle, new StoredResult(worker, bytes, untilMs));
 		reserve(worker, bytes);
 	}
 
 	void release(String handle) {
-		Held result = this.held.remove(handle);
+		StoredResult result = this.held.remove(handle);
 		if (result != null) {
 			unreserve(result.worker(), result.bytes());
 		}
 	}
 
 	void expire(long nowMs) {
-		Iterator<Held> each = this.held.values().iterator();
+		Iterator<StoredResult> each = this.held.values().iterator();
 		while (each.hasNext()) {
-			Held oldest = each.next();
+			StoredResult oldest = each.next();
 			if (oldest.untilMs() > nowMs) {
 				return;
 			}
@@ -64,7 +64,7 @@
 	 * @param bytes its size
 	 * @param untilMs when the maker drops it of its own accord, on the steady clock
 	 */
-	private record Held(String worker, long bytes, long untilMs) {
+	private record StoredResult(String worker, long bytes, long untilMs) {
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/pool/RunningCalls.java
+++ b/core/src/main/java/org/tallycart/core/pool/RunningCalls.java
@@ -52,7 +52,7 @@
 	PoolCall end(long number) {
 		this.overdue.remove(number);
 		this.unread.remove(number);
-		return InvariantViolation.present(this.calls.remove(number), "an unknown call ended");
+		return InvariantViolation.requirePresent(this.calls.remove(number), "an unknown call ended");
 	}
 
 	// Finds calls whose inputs need not be kept for their workers any more.
--- a/core/src/main/java/org/tallycart/core/pool/StagePlan.java
+++ b/core/src/main/java/org/tallycart/core/pool/StagePlan.java
@@ -54,7 +54,7 @@
 	 * itself reads are made last, since their makers have little room to keep them.
 	 * @return the numbers of the stages that have pieces and can be made now
 	 */
-	public List<Integer> start() {
+	public List<Integer> startReady() {
 		List<Integer> ready = new ArrayList<>();
 		startAll(ready, false);
 		startAll(ready, true);
@@ -63,7 +63,7 @@
 
 	private void startAll(List<Integer> ready, boolean held) {
 		for (int i = 0; i < this.stages.size(); i++) {
-			boolean inputsMade = this.stages.get(i).after().stream().allMatch(this::complete);
+			boolean inputsMade = this.stages.get(i).after().stream().allMatch(this::isComplete);
 			if (!this.started[i] && inputsMade && held == canWait(i) && (!held || othersStarted(i))) {
 				this.started[i] = true;
 				if (this.handles[i].length > 0) {
@@ -95,7 +95,7 @@
 	 * @param stage its number
 	 * @return the count
 	 */
-	public int pieces(int stage) {
+	public int pieceCount(int stage) {
 		return this.handles[stage].length;
 	}
 
@@ -126,11 +126,11 @@
 	 * @param stage its number
 	 * @return the length of the longest chain behind it that has pieces
 	 */
-	public int stagesBehind(int stage) {
+	public int stagesAfter(int stage) {
 		int longest = 0;
 		for (int i = 0; i < this.stages.size(); i++) {
 			if (this.stages.get(i).after().contains(stage) && this.handles[i].length > 0) {
-				longest = Math.max(longest, 1 + stagesBehind(i));
+				longest = Math.max(longest, 1 + stagesAfter(i));
 			}
 		}
 		return longest;
@@ -142,18 +142,18 @@
 	 * @param stageMs how long a stage takes, by its number, in milliseconds
 	 * @return milliseconds; 0 where there are no pieces
 	 */
-	public long longestMs(IntToLongFunction stageMs) {
+	public long criticalPathMs(IntToLongFunction stageMs) {
 		long longest = 0;
 		for (int i = 0; i < this.stages.size(); i++) {
-			longest = Math.max(longest, longestMs(i, stageMs));
+			longest = Math.max(longest, criticalPathMs(i, stageMs));
 		}
 		return longest;
 	}
 
-	private long longestMs(int last, IntToLongFunction stageMs) {
+	private long criticalPathMs(int last, IntToLongFunction stageMs) {
 		long before = 0;
 		for (int input : this.stages.get(last).after()) {
-			before = Math.max(before, longestMs(input, stageMs));
+			before = Math.max(before, criticalPathMs(input, stageMs));
 		}
 		return before + ((this.handles[last].length > 0) ? stageMs.applyAsLong(last) : 0);
 	}
@@ -173,9 +173,9 @@
 	 * @param piece the piece
 	 * @param handle names the result
 	 */
-	public void made(int stage, int piece, String handle) {
+	public void onCompleted(int stage, int piece, String handle) {
 		this.handles[stage][piece] = handle;
-		inputsRead(stage, piece);
+		onInputsRead(stage, piece);
 	}
 
 	/**
@@ -183,11 +183,11 @@
 	 * @param stage the stage
 	 * @param piece the piece
 	 */
-	public void inputsRead(int stage, int piece) {
+	public void onInputsRead(int stage, int piece) {
 		this.read[stage][piece] = true;
 	}
 
-	private boolean complete(int stage) {
+	private boolean isComplete(int stage) {
 		return Arrays.stream(this.handles[stage]).allMatch((handle) -> handle != null);
 	}
 
@@ -195,9 +195,9 @@
 	 * Return whether all pieces are made.
 	 * @return true if the request can run
 	 */
-	public boolean complete() {
+	public boolean isComplete() {
 		for (int i = 0; i < this.stages.size(); i++) {
-			if (!complete(i)) {
+			if (!isComplete(i)) {
 				return false;
 			}
 		}
@@ -235,10 +235,10 @@
 	 * itself does not read.
 	 * @return their numbers; each is returned once
 	 */
-	public List<Integer> takeSpent() {
+	public List<Integer> takeReleasable() {
 		List<Integer> fresh = new ArrayList<>();
 		for (int i = 0; i < this.stages.size(); i++) {
-			if (!this.spent[i] && complete(i) && followersRead(i)) {
+			if (!this.spent[i] && isComplete(i) && followersRead(i)) {
 				this.spent[i] = true;
 				fresh.add(i);
 			}
@@ -272,7 +272,7 @@
 	 * Take back all stages that have not been taken back.
 	 * @return their numbers
 	 */
-	public List<Integer> takeRest() {
+	public List<Integer> takeUnreleased() {
 		List<Integer> rest = new ArrayList<>();
 		for (int i = 0; i < this.stages.size(); i++) {
 			if (!this.spent[i]) {
--- a/core/src/main/java/org/tallycart/core/replication/Manifest.java
+++ b/core/src/main/java/org/tallycart/core/replication/Manifest.java
@@ -20,7 +20,7 @@
  * @param history the latest changes, newest first
  * @since 0.1
  */
-public record Manifest(long version, SortedMap<String, String> parts, List<Change> history) {
+public record Manifest(long version, SortedMap<String, String> parts, List<ManifestChange> history) {
 
 	/** How many changes a manifest remembers. */
 	public static final int HISTORY_LENGTH = 64;
@@ -41,8 +41,8 @@
 	 */
 	public Manifest next(SortedMap<String, String> nextParts, String changeId, String author, String digest,
 			List<String> sections) {
-		List<Change> changes = new ArrayList<>();
-		changes.add(new Change(this.version + 1, changeId, author, digest, sections));
+		List<ManifestChange> changes = new ArrayList<>();
+		changes.add(new ManifestChange(this.version + 1, changeId, author, digest, sections));
 		changes.addAll(this.history.subList(0, Math.min(this.history.size(), HISTORY_LENGTH - 1)));
 		return new Manifest(this.version + 1, nextParts, changes);
 	}
@@ -52,7 +52,7 @@
 	 * @param changeId its id
 	 * @return the change, or empty if it is not there
 	 */
-	public Optional<Change> find(String changeId) {
+	public Optional<ManifestChange> find(String changeId) {
 		return this.history.stream().filter((change) -> change.id().equals(changeId)).findFirst();
 	}
 
@@ -61,7 +61,7 @@
 	 * @param section the declaration
 	 * @return the change, or empty if none in the history did
 	 */
-	public Optional<Change> lastToTouch(String section) {
+	public Optional<ManifestChange> findLatestChange(String section) {
 		return this.history.stream().filter((change) -> change.sections().contains(section)).findFirst();
 	}
 
@@ -96,7 +96,7 @@
 	public static Either<String, Manifest> decode(String text) {
 		long version = 0;
 		SortedMap<String, String> parts = new TreeMap<>();
-		List<Change> history = new ArrayList<>();
+		List<ManifestChange> history = new ArrayList<>();
 		try {
 			for (String line : text.split("\n")) {
 				String[] fields = line.split(SEPARATOR);
@@ -105,7 +105,7 @@
 						version = Long.parseLong(fields[1]);
 					}
 					case "part" -> parts.put(fields[1], fields[2]);
-					case "change" -> history.add(Change.decode(fields));
+					case "change" -> history.add(ManifestChange.decode(fields));
 					default -> {
 						// A later release may add lines of its own.
 					}
--- a/core/src/main/java/org/tallycart/core/replication/Change.java
+++ b/core/src/main/java/org/tallycart/core/replication/ManifestChange.java
@@ -12,7 +12,7 @@
  * @param sections the declarations it touched
  * @since 0.1
  */
-public record Change(long version, String id, String author, String manifest, List<String> sections) {
+public record ManifestChange(long version, String id, String author, String manifest, List<String> sections) {
 
 	private static final String SECTION_SEPARATOR = ",";
 
@@ -23,9 +23,9 @@
 				+ String.join(SECTION_SEPARATOR, this.sections);
 	}
 
-	static Change decode(String[] fields) {
+	static ManifestChange decode(String[] fields) {
 		List<String> sections = (fields.length > FIELDS) ? List.of(fields[FIELDS].split(SECTION_SEPARATOR)) : List.of();
-		return new Change(Long.parseLong(fields[1]), fields[2], fields[3], fields[4], sections);
+		return new ManifestChange(Long.parseLong(fields[1]), fields[2], fields[3], fields[4], sections);
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/replication/PartName.java
+++ b/core/src/main/java/org/tallycart/core/replication/ManifestParts.java
@@ -8,12 +8,12 @@
  *
  * @since 0.1
  */
-public final class PartName {
+public final class ManifestParts {
 
 	/** Parts over which the workspaces are spread. */
 	public static final int WORKSPACE_PARTS = 64;
 
-	private PartName() {
+	private ManifestParts() {
 	}
 
 	/**
@@ -21,7 +21,7 @@
 	 * @param section the declaration's section name, such as {@code workspace shop-7}
 	 * @return the name of the part
 	 */
-	public static String of(String section) {
+	public static String partOf(String section) {
 		String kind = section.substring(0, Math.max(section.indexOf(' '), 0));
 		if (kind.equals("workspace")) {
 			return kind + "-" + Math.floorMod(section.hashCode(), WORKSPACE_PARTS);
--- a/core/src/main/java/org/tallycart/core/replication/ThreeWayMerge.java
+++ b/core/src/main/java/org/tallycart/core/replication/ThreeWayMerge.java
@@ -67,7 +67,7 @@
 	 * @param after the other
 	 * @return the names, sorted
 	 */
-	public static List<String> changed(Map<String, String> before, Map<String, String> after) {
+	public static List<String> changedNames(Map<String, String> before, Map<String, String> after) {
 		TreeSet<String> names = new TreeSet<>(before.keySet());
 		names.addAll(after.keySet());
 		names.removeIf((name) -> Objects.equals(before.get(name), after.get(name)));
--- a/core/src/main/java/org/tallycart/core/replication/VersionedRegister.java
+++ b/core/src/main/java/org/tallycart/core/replication/VersionedRegister.java
@@ -38,18 +38,18 @@
 	 * @param offered the value
 	 * @return what became of it
 	 */
-	public Acceptance offer(long offeredVersion, byte[] offered) {
+	public OfferResult offer(long offeredVersion, byte[] offered) {
 		if (offeredVersion < this.version) {
-			return Acceptance.REFUSED_OLD;
+			return OfferResult.REFUSED_OLD;
 		}
 		if (offeredVersion == this.version) {
-			return Arrays.equals(offered, this.value) ? Acceptance.SAME : Acceptance.REFUSED_DIFFERENT;
+			return Arrays.equals(offered, this.value) ? OfferResult.SAME : OfferResult.REFUSED_DIFFERENT;
 		}
 		long before = this.version;
 		this.version = offeredVersion;
 		this.value = offered.clone();
-		InvariantViolation.unless(this.version > before, this.name + ": the version fell");
-		return Acceptance.APPLIED;
+		InvariantViolation.check(this.version > before, this.name + ": the version fell");
+		return OfferResult.APPLIED;
 	}
 
 	/**
@@ -77,7 +77,7 @@
 	}
 
 	/** What became of an offered value. */
-	public enum Acceptance {
+	public enum OfferResult {
 
 		/** It is newer and is now the value. */
 		APPLIED,
--- a/core/src/main/java/org/tallycart/core/routing/LeastLoadBalancer.java
+++ b/core/src/main/java/org/tallycart/core/routing/LeastLoadBalancer.java
@@ -24,7 +24,7 @@
 	 * @param halfLifeMs age at which a report counts half, in milliseconds
 	 * @return the balancer
 	 */
-	public static LeastLoadBalancer aged(double halfLifeMs) {
+	public static LeastLoadBalancer withAgeDiscount(double halfLifeMs) {
 		return new LeastLoadBalancer(halfLifeMs);
 	}
 
--- a/core/src/main/java/org/tallycart/core/routing/RetryBudget.java
+++ b/core/src/main/java/org/tallycart/core/routing/RetryBudget.java
@@ -44,7 +44,7 @@
 	 * Ask for an extra attempt.
 	 * @return whether it is granted
 	 */
-	public synchronized boolean tryTake() {
+	public synchronized boolean tryAcquire() {
 		if (this.tokens < 1) {
 			return false;
 		}
--- a/core/src/main/java/org/tallycart/core/routing/StageQueue.java
+++ b/core/src/main/java/org/tallycart/core/routing/StageQueue.java
@@ -59,7 +59,7 @@
 	 * Change how many calls may be in flight.
 	 * @param newLimit the limit, at least 1
 	 */
-	public void limit(int newLimit) {
+	public void setLimit(int newLimit) {
 		this.limit = Math.max(newLimit, 1);
 	}
 
@@ -113,7 +113,7 @@
 	 * Record that a call which was let go has ended.
 	 */
 	public void release() {
-		InvariantViolation.unless(this.inFlight > 0, "a call ended that was not in flight");
+		InvariantViolation.check(this.inFlight > 0, "a call ended that was not in flight");
 		this.inFlight--;
 	}
 
@@ -148,7 +148,7 @@
 	 * @param priority its priority
 	 * @return the number
 	 */
-	public int aheadOf(String workspace, long priority) {
+	public int countAhead(String workspace, long priority) {
 		double start = Math.max(this.virtualTime, this.finishTags.getOrDefault(workspace, 0.0));
 		return (int) this.waiting.stream().filter((item) -> {
 			long other = item.work.priority();
--- a/core/src/main/java/org/tallycart/core/routing/TwoChoicesBalancer.java
+++ b/core/src/main/java/org/tallycart/core/routing/TwoChoicesBalancer.java
@@ -26,7 +26,7 @@
 	 * @param halfLifeMs age at which a report counts half, in milliseconds
 	 * @return the balancer
 	 */
-	public static TwoChoicesBalancer aged(double halfLifeMs) {
+	public static TwoChoicesBalancer withAgeDiscount(double halfLifeMs) {
 		return new TwoChoicesBalancer(halfLifeMs);
 	}
 
@@ -34,7 +34,7 @@
 	 * Create the baseline that takes every report as fresh.
 	 * @return the balancer
 	 */
-	public static TwoChoicesBalancer withoutAge() {
+	public static TwoChoicesBalancer withoutAgeDiscount() {
 		return new TwoChoicesBalancer(Double.POSITIVE_INFINITY);
 	}
 
--- a/core/src/main/java/org/tallycart/core/routing/UpstreamTable.java
+++ b/core/src/main/java/org/tallycart/core/routing/UpstreamTable.java
@@ -62,7 +62,7 @@
 	 * Adopt the declared services; what is known of upstreams that stay is kept.
 	 * @param declared the services
 	 */
-	public synchronized void adopt(Collection<Service> declared) {
+	public synchronized void update(Collection<Service> declared) {
 		Map<String, UpstreamHealth> next = new HashMap<>();
 		this.services.clear();
 		for (Service service : declared) {
@@ -171,7 +171,7 @@
 	 * @param nowMs the monotonic clock now
 	 * @return whether the upstream was ejected for being slower than its peers
 	 */
-	public synchronized boolean onTooSlow(String serviceId, String upstreamId, double work, long millis, long nowMs) {
+	public synchronized boolean onTimeout(String serviceId, String upstreamId, double work, long millis, long nowMs) {
 		UpstreamHealth known = this.health.get(upstreamId);
 		if (known == null) {
 			return false;
@@ -241,7 +241,7 @@
 	 * Return the upstreams this VM uses.
 	 * @return the upstreams
 	 */
-	public synchronized List<Upstream> used() {
+	public synchronized List<Upstream> upstreams() {
 		return this.health.values().stream().map(UpstreamHealth::upstream).toList();
 	}
 
@@ -250,7 +250,7 @@
 	 * @param serviceId the service
 	 * @return the sum
 	 */
-	public synchronized int slots(String serviceId) {
+	public synchronized int totalSlots(String serviceId) {
 		return this.services.getOrDefault(serviceId, List.of())
 			.stream()
 			.filter((id) -> !this.leaving.contains(id))
--- a/core/src/main/java/org/tallycart/core/serving/NodeSettings.java
+++ b/core/src/main/java/org/tallycart/core/serving/NodeSettings.java
@@ -20,7 +20,7 @@
  * @since 0.1
  */
 public record NodeSettings(String vm, String ip, String failureDomain, Address callers, Address readiness, int peerPort,
-		int capacity, Address store, Bounds bounds, boolean evacuations) {
+		int capacity, Address store, PlatformLimits bounds, boolean evacuations) {
 
 	/**
 	 * Figures that the operators of the platform set.
@@ -31,7 +31,7 @@
 	 * @param retrySlack extra sends allowed in a window beside those, over all VMs
 	 * @since 0.1
 	 */
-	public record Bounds(long graceMs, double retryRatio, long retryWindowMs, double retrySlack) {
+	public record PlatformLimits(long graceMs, double retryRatio, long retryWindowMs, double retrySlack) {
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/serving/Stated.java
+++ b/core/src/main/java/org/tallycart/core/serving/ParsedField.java
@@ -12,7 +12,7 @@
  * @param <T> the type of the value
  * @since 0.1
  */
-public record Stated<T>(Kind kind, Optional<T> value) {
+public record ParsedField<T>(State kind, Optional<T> value) {
 
 	/**
 	 * Return the statement of a reply that names a value.
@@ -20,8 +20,8 @@
 	 * @param <T> the type of the value
 	 * @return the statement
 	 */
-	public static <T> Stated<T> of(T value) {
-		return new Stated<>(Kind.VALUE, Optional.of(value));
+	public static <T> ParsedField<T> of(T value) {
+		return new ParsedField<>(State.VALUE, Optional.of(value));
 	}
 
 	/**
@@ -29,8 +29,8 @@
 	 * @param <T> the type of the value
 	 * @return the statement
 	 */
-	public static <T> Stated<T> nothing() {
-		return new Stated<>(Kind.NOTHING, Optional.empty());
+	public static <T> ParsedField<T> absent() {
+		return new ParsedField<>(State.NOTHING, Optional.empty());
 	}
 
 	/**
@@ -38,8 +38,8 @@
 	 * @param <T> the type of the value
 	 * @return the statement
 	 */
-	public static <T> Stated<T> unreadable() {
-		return new Stated<>(Kind.UNREADABLE, Optional.empty());
+	public static <T> ParsedField<T> malformed() {
+		return new ParsedField<>(State.UNREADABLE, Optional.empty());
 	}
 
 	/**
@@ -48,20 +48,20 @@
 	 * @param <U> the type of the new value
 	 * @return the statement of the new value
 	 */
-	public <U> Stated<U> map(Function<T, U> translation) {
-		return new Stated<>(this.kind, this.value.map(translation));
+	public <U> ParsedField<U> map(Function<T, U> translation) {
+		return new ParsedField<>(this.kind, this.value.map(translation));
 	}
 
 	/**
 	 * Return whether the reply says something that cannot be read.
 	 * @return true if so
 	 */
-	public boolean isUnreadable() {
-		return this.kind == Kind.UNREADABLE;
+	public boolean isMalformed() {
+		return this.kind == State.UNREADABLE;
 	}
 
 	/** Kinds of statement. */
-	public enum Kind {
+	public enum State {
 
 		/** It names a value. */
 		VALUE,
--- a/core/src/main/java/org/tallycart/core/serving/RequestRank.java
+++ b/core/src/main/java/org/tallycart/core/serving/RequestPriority.java
@@ -13,7 +13,7 @@
  * @param route the route's level; 0 is the most urgent
  * @since 0.1
  */
-public record RequestRank(int workspace, int route) {
+public record RequestPriority(int workspace, int route) {
 
 	/** Level of a request without a workspace, or whose workspace has none. */
 	private static final int ORDINARY_LEVEL = 1;
@@ -33,15 +33,15 @@
 	 * @param route its route
 	 * @return the rank
 	 */
-	public static RequestRank of(Optional<Workspace> workspace, Route route) {
-		return new RequestRank(workspace.flatMap(Workspace::priority).orElse(ORDINARY_LEVEL), route.priority());
+	public static RequestPriority of(Optional<Workspace> workspace, Route route) {
+		return new RequestPriority(workspace.flatMap(Workspace::priority).orElse(ORDINARY_LEVEL), route.priority());
 	}
 
 	/**
 	 * Return a number by which requests are put in order.
 	 * @return 0 or more; less is more urgent
 	 */
-	public int order() {
+	public int sortKey() {
 		return combined(LEVELS);
 	}
 
--- a/core/src/main/java/org/tallycart/core/serving/Route.java
+++ b/core/src/main/java/org/tallycart/core/serving/Route.java
@@ -42,7 +42,7 @@
 	 * which the callers' protocol names.
 	 * @return milliseconds; the longest time there is where the answer is no stream
 	 */
-	public long patienceMs() {
+	public long firstEventTimeoutMs() {
 		if (this.kind != RequestKind.STREAMING) {
 			return Long.MAX_VALUE;
 		}
@@ -63,7 +63,7 @@
 	 * @param draw a number that is spread evenly over all longs
 	 * @return the service
 	 */
-	public String serviceFor(long draw) {
+	public String selectService(long draw) {
 		int total = this.shares.stream().mapToInt(ServiceShare::weight).sum();
 		if (total <= 0) {
 			return this.shares.get(0).service();
--- a/core/src/main/java/org/tallycart/core/serving/UpstreamEntry.java
+++ b/core/src/main/java/org/tallycart/core/serving/UpstreamEntry.java
@@ -31,7 +31,7 @@
 	 * @param service the service it provides
 	 * @return a builder for a warm upstream of one slot that is ready
 	 */
-	public static Builder of(String id, String service) {
+	public static Builder builder(String id, String service) {
 		return new Builder(id, service);
 	}
 
@@ -59,7 +59,7 @@
 	 * @param known the other
 	 * @return true if more differs than how long it stays cold, or if it has turned cold
 	 */
-	public boolean newsAfter(UpstreamEntry known) {
+	public boolean isChangedFrom(UpstreamEntry known) {
 		boolean turnedCold = known.coldMs == 0 && this.coldMs > 0;
 		return turnedCold || !withColdMs(0).equals(known.withColdMs(0));
 	}
@@ -101,7 +101,7 @@
 		 * tell
 		 * @return this builder
 		 */
-		public Builder started(OptionalLong unixMs) {
+		public Builder startedMs(OptionalLong unixMs) {
 			this.startedMs = unixMs;
 			return this;
 		}
@@ -112,7 +112,7 @@
 		 * @param domain the failure domain in which it runs
 		 * @return this builder
 		 */
-		public Builder at(Address listensAt, String domain) {
+		public Builder location(Address listensAt, String domain) {
 			this.address = listensAt;
 			this.failureDomain = domain;
 			return this;
@@ -143,7 +143,7 @@
 		 * @param leftMs milliseconds; 0 if it is warm
 		 * @return this builder
 		 */
-		public Builder cold(long leftMs) {
+		public Builder coldMs(long leftMs) {
 			this.coldMs = leftMs;
 			return this;
 		}
--- a/core/src/main/java/org/tallycart/core/serving/UpstreamReply.java
+++ b/core/src/main/java/org/tallycart/core/serving/UpstreamReply.java
@@ -20,7 +20,7 @@
  * @since 0.1
  */
 public record UpstreamReply(int status, Optional<String> requestId, boolean notRun, boolean signed,
-		Optional<LoadReport> load, Stated<Double> perSecond, Stated<Boolean> leaves, Stated<Long> restMs,
+		Optional<LoadReport> load, ParsedField<Double> perSecond, ParsedField<Boolean> leaves, ParsedField<Long> restMs,
 		List<HeaderField> fields) {
 
 	/**
--- a/core/src/main/java/org/tallycart/core/upstream/ColdLimit.java
+++ b/core/src/main/java/org/tallycart/core/upstream/ColdStartLimiter.java
@@ -26,7 +26,7 @@
  *
  * @since 0.1
  */
-public final class ColdLimit {
+public final class ColdStartLimiter {
 
 	/**
 	 * Share of a service's upstreams that have to be warm for the cold ones to be left
@@ -60,7 +60,7 @@
 
 	private final ToDoubleFunction<String> ratePerSecond;
 
-	private final Map<String, Part> parts = new HashMap<>();
+	private final Map<String, UpstreamShare> parts = new HashMap<>();
 
 	/**
 	 * Create a limit.
@@ -69,7 +69,8 @@
 	 * @param ratePerSecond gives what a cold upstream of a service bears, in requests a
 	 * second; 0 where there is no limit
 	 */
-	public ColdLimit(String vm, Supplier<? extends Collection<String>> vms, ToDoubleFunction<String> ratePerSecond) {
+	public ColdStartLimiter(String vm, Supplier<? extends Collection<String>> vms,
+			ToDoubleFunction<String> ratePerSecond) {
 		this.vm = vm;
 		this.vms = vms;
 		this.ratePerSecond = ratePerSecond;
@@ -98,14 +99,14 @@
 	}
 
 	private boolean mayTake(UpstreamState state, long nowMs) {
-		Part part = part(state, nowMs);
+		UpstreamShare part = part(state, nowMs);
 		return part.sends && part.bucket.available(nowMs);
 	}
 
-	private Part part(UpstreamState state, long nowMs) {
+	private UpstreamShare part(UpstreamState state, long nowMs) {
 		String incarnation = state.entry().incarnation();
 		double rate = this.ratePerSecond.applyAsDouble(state.entry().service()) * USED_SHARE / SENDERS;
-		Part part = this.parts.computeIfAbsent(incarnation, (key) -> new Part(rate, nowMs));
+		UpstreamShare part = this.parts.computeIfAbsent(incarnation, (key) -> new UpstreamShare(rate, nowMs));
 		if (nowMs - part.rankedMs > RANK_MS) {
 			part.rankedMs = nowMs;
 			part.sends = RendezvousHash.top(incarnation, this.vms.get(), SENDERS).contains(this.vm);
@@ -128,12 +129,12 @@
 	 * Drop what is no longer needed.
 	 * @param nowMs the steady clock
 	 */
-	public void tick(long nowMs) {
+	public void expire(long nowMs) {
 		this.parts.values().removeIf((part) -> nowMs - part.rankedMs > FORGET_MS);
 	}
 
 	/** This VM's part in what one cold upstream gets. */
-	private static final class Part {
+	private static final class UpstreamShare {
 
 		private final TokenBucket bucket;
 
@@ -142,7 +143,7 @@
 
 		private boolean sends;
 
-		Part(double ratePerSecond, long nowMs) {
+		UpstreamShare(double ratePerSecond, long nowMs) {
 			this.bucket = TokenBucket.create(ratePerSecond, 1, nowMs);
 		}
 
--- a/core/src/main/java/org/tallycart/core/upstream/EngineChooser.java
+++ b/core/src/main/java/org/tallycart/core/upstream/EngineChooser.java
@@ -60,7 +60,7 @@
 		}
 		UpstreamState source = (best != home) ? home : firstPartHome(prompt, candidates);
 		int tokens = (best != home) ? prompt.sharedTokens() : prompt.firstPartTokens();
-		boolean fetch = source != best && tokens >= MIN_FETCH_TOKENS && source.usable(nowMs);
+		boolean fetch = source != best && tokens >= MIN_FETCH_TOKENS && source.isUsable(nowMs);
 		return new UpstreamChoice(best, fetch ? Optional.of(source) : Optional.empty());
 	}
 
--- a/core/src/main/java/org/tallycart/core/upstream/PlainChooser.java
+++ b/core/src/main/java/org/tallycart/core/upstream/LeastLoadedChooser.java
@@ -13,7 +13,7 @@
  *
  * @since 0.1
  */
-public final class PlainChooser {
+public final class LeastLoadedChooser {
 
 	/** What another failure domain counts, in shares of an upstream's slots. */
 	private static final double OTHER_DOMAIN = 0.1;
@@ -21,7 +21,7 @@
 	/** What a failing share of 1 counts, in shares of an upstream's slots. */
 	private static final double ERROR_SHARE = 4;
 
-	private PlainChooser() {
+	private LeastLoadedChooser() {
 	}
 
 	/**
--- a/core/src/main/java/org/tallycart/core/upstream/PromptCost.java
+++ b/core/src/main/java/org/tallycart/core/upstream/PromptCost.java
@@ -31,7 +31,7 @@
 	 * @param prompt the prompt
 	 * @return milliseconds
 	 */
-	public static double readMs(Prompt prompt) {
+	public static double prefillMs(Prompt prompt) {
 		double fresh = Math.max(prompt.promptTokens() - prompt.sharedTokens(), 0);
 		double pairs = fresh * (prompt.sharedTokens() + fresh / 2);
 		return fresh / TOKENS_PER_MS + pairs / MILLION * MS_PER_MILLION_PAIRS;
@@ -43,7 +43,7 @@
 	 * @return milliseconds
 	 */
 	public static double firstTokenMs(Prompt prompt) {
-		return readMs(prompt) + FIRST_TOKEN_MS;
+		return prefillMs(prompt) + FIRST_TOKEN_MS;
 	}
 
 	/**
--- a/core/src/main/java/org/tallycart/core/upstream/StatedAbsences.java
+++ b/core/src/main/java/org/tallycart/core/upstream/UnavailabilityRegistry.java
@@ -19,7 +19,7 @@
  *
  * @since 0.1
  */
-public final class StatedAbsences {
+public final class UnavailabilityRegistry {
 
 	/** What an upstream that leaves takes in the future. */
 	public static final long NEVER = Long.MAX_VALUE;
@@ -41,7 +41,7 @@
 	 * @param nowMs the steady clock
 	 * @return whether that is news
 	 */
-	public boolean onLeaving(String incarnation, long nowMs) {
+	public boolean onDraining(String incarnation, long nowMs) {
 		return this.leavingSeenMs.put(incarnation, nowMs) == null;
 	}
 
@@ -52,8 +52,8 @@
 	 * @param nowMs the steady clock
 	 * @return whether it did not rest before
 	 */
-	public boolean onRest(String incarnation, long restMs, long nowMs) {
-		boolean rested = restMs(incarnation, nowMs) > 0;
+	public boolean onBackoff(String incarnation, long restMs, long nowMs) {
+		boolean rested = remainingBackoffMs(incarnation, nowMs) > 0;
 		this.restUntilMs.merge(incarnation, nowMs + restMs, Math::max);
 		return restMs > 0 && !rested;
 	}
@@ -63,7 +63,7 @@
 	 * @param incarnation the upstream
 	 * @return true if it has
 	 */
-	public boolean leaves(String incarnation) {
+	public boolean isDraining(String incarnation) {
 		return this.leavingSeenMs.containsKey(incarnation);
 	}
 
@@ -73,7 +73,7 @@
 	 * @param nowMs the steady clock
 	 * @return milliseconds; 0 if it rests no longer
 	 */
-	public long restMs(String incarnation, long nowMs) {
+	public long remainingBackoffMs(String incarnation, long nowMs) {
 		return Math.max(this.restUntilMs.getOrDefault(incarnation, nowMs) - nowMs, 0);
 	}
 
@@ -84,7 +84,7 @@
 	 * @return milliseconds; 0 if it takes them now, {@link #NEVER} if it leaves
 	 */
 	public long acceptsInMs(String incarnation, long nowMs) {
-		return leaves(incarnation) ? NEVER : restMs(incarnation, nowMs);
+		return isDraining(incarnation) ? NEVER : remainingBackoffMs(incarnation, nowMs);
 	}
 
 	/**
@@ -99,7 +99,7 @@
 	 * Return the upstreams that have said that they leave.
 	 * @return their incarnations
 	 */
-	public Set<String> leaving() {
+	public Set<String> drainingIncarnations() {
 		return Set.copyOf(this.leavingSeenMs.keySet());
 	}
 
@@ -108,7 +108,7 @@
 	 * @param nowMs the steady clock
 	 * @return the count
 	 */
-	public long resting(long nowMs) {
+	public long backoffCount(long nowMs) {
 		return this.restUntilMs.values().stream().filter((until) -> until > nowMs).count();
 	}
 
--- a/core/src/main/java/org/tallycart/core/upstream/UpstreamDirectory.java
+++ b/core/src/main/java/org/tallycart/core/upstream/UpstreamDirectory.java
@@ -43,7 +43,7 @@
 	// Made when it is asked for, and dropped with each change of the two above.
 	private final Map<String, List<UpstreamState>> byService = new HashMap<>();
 
-	private final StatedAbsences absences = new StatedAbsences();
+	private final UnavailabilityRegistry absences = new UnavailabilityRegistry();
 
 	private Set<String> evacuated = Set.of();
 
@@ -84,7 +84,7 @@
 	public void put(UpstreamEntry entry, long nowMs) {
 		this.byService.clear();
 		if (entry.draining()) {
-			this.absences.onLeaving(entry.incarnation(), nowMs);
+			this.absences.onDraining(entry.incarnation(), nowMs);
 		}
 		UpstreamState returned = this.vanished.remove(entry.id());
 		if (returned != null) {
@@ -103,7 +103,7 @@
 	 * Return what upstreams have said of their leaving and of rest.
 	 * @return their statements, which change with what they say
 	 */
-	public StatedAbsences absences() {
+	public UnavailabilityRegistry unavailability() {
 		return this.absences;
 	}
 
@@ -117,7 +117,7 @@
 	 * back. What they work on ends as usual, and results that lie there are still read.
 	 * @param domains all of them
 	 */
-	public void evacuate(Collection<String> domains) {
+	public void setEvacuatedDomains(Collection<String> domains) {
 		this.evacuationsKnown = true;
 		this.evacuated = Set.copyOf(domains);
 	}
@@ -126,7 +126,7 @@
 	 * Return the failure domains that are evacuated.
 	 * @return their names
 	 */
-	public Set<String> evacuated() {
+	public Set<String> evacuatedDomains() {
 		return this.evacuated;
 	}
 
@@ -135,7 +135,7 @@
 	 * use, also in an outage.
 	 * @param id its name
 	 */
-	public void discard(String id) {
+	public void removeInvalid(String id) {
 		this.byService.clear();
 		this.states.remove(id);
 		this.vanished.remove(id);
@@ -179,7 +179,7 @@
 	 * @param nowMs the steady clock
 	 * @return milliseconds; 0 where what vanishes is gone
 	 */
-	public long untrustedMs(long nowMs) {
+	public long remainingGraceMs(long nowMs) {
 		return this.outage ? RENEWAL_MS : Math.max(this.trustedFromMs - nowMs, 0);
 	}
 
@@ -187,7 +187,7 @@
 	 * Take note that entries that vanish may still come back until some time.
 	 * @param untilMs that time, on the steady clock
 	 */
-	public void distrustUntil(long untilMs) {
+	public void extendGraceUntil(long untilMs) {
 		this.trustedFromMs = Math.max(this.trustedFromMs, untilMs);
 	}
 
@@ -195,7 +195,7 @@
 	 * Drop entries that should have been renewed by now.
 	 * @param nowMs the steady clock
 	 */
-	public void tick(long nowMs) {
+	public void expireVanished(long nowMs) {
 		if (trusted(nowMs) && !this.vanished.isEmpty()) {
 			this.byService.clear();
 			this.vanished.clear();
@@ -212,7 +212,7 @@
 	public List<UpstreamState> candidates(String service, long nowMs) {
 		List<UpstreamState> accepting = open(service);
 		accepting.removeIf((state) -> state.acceptsInMs(nowMs) > 0);
-		List<UpstreamState> usable = accepting.stream().filter((state) -> state.usable(nowMs)).toList();
+		List<UpstreamState> usable = accepting.stream().filter((state) -> state.isUsable(nowMs)).toList();
 		return usable.isEmpty() ? accepting : usable;
 	}
 
@@ -221,7 +221,7 @@
 		if (!this.evacuationsKnown) {
 			return new ArrayList<>();
 		}
-		List<UpstreamState> open = all(service);
+		List<UpstreamState> open = activeUpstreams(service);
 		open.removeIf((state) -> this.evacuated.contains(state.entry().failureDomain()));
 		return open;
 	}
@@ -230,11 +230,14 @@
 	 * Return when the first upstream of a service takes requests, by their own words.
 	 * @param service the service
 	 * @param nowMs the steady clock
-	 * @return milliseconds; 0 if one takes them now, {@link StatedAbsences#NEVER} if
-	 * there is none that does not leave
+	 * @return milliseconds; 0 if one takes them now, {@link UnavailabilityRegistry#NEVER}
+	 * if there is none that does not leave
 	 */
 	public long acceptsInMs(String service, long nowMs) {
-		return open(service).stream().mapToLong((state) -> state.acceptsInMs(nowMs)).min().orElse(StatedAbsences.NEVER);
+		return open(service).stream()
+			.mapToLong((state) -> state.acceptsInMs(nowMs))
+			.min()
+			.orElse(UnavailabilityRegistry.NEVER);
 	}
 
 	/**
@@ -242,7 +245,7 @@
 	 * @param service the service
 	 * @return the upstreams
 	 */
-	public List<UpstreamState> all(String service) {
+	public List<UpstreamState> activeUpstreams(String service) {
 		if (this.byService.isEmpty()) {
 			this.states.values().forEach(this::index);
 			this.vanished.values().forEach(this::index);
@@ -262,7 +265,7 @@
 	 * @param address where it listens
 	 * @return the upstream, if one listens there
 	 */
-	public Optional<UpstreamState> at(Address address) {
+	public Optional<UpstreamState> findByAddress(Address address) {
 		return Stream.concat(this.states.values().stream(), this.vanished.values().stream())
 			.filter((state) -> state.entry().address().equals(address))
 			.findFirst();
@@ -281,7 +284,7 @@
 	 * Return whether the list, and what is evacuated, was read at least once.
 	 * @return true if it was
 	 */
-	public boolean known() {
+	public boolean isLoaded() {
 		return this.known && this.evacuationsKnown;
 	}
 
--- a/core/src/main/java/org/tallycart/core/upstream/UpstreamState.java
+++ b/core/src/main/java/org/tallycart/core/upstream/UpstreamState.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 import org.jspecify.annotations.Nullable;
-import org.tallycart.core.membership.RankedName;
+import org.tallycart.core.membership.HashedName;
 import org.tallycart.core.serving.LoadReport;
 import org.tallycart.core.serving.UpstreamEntry;
 
@@ -35,7 +35,7 @@
 	/** A report older than this says nothing, in milliseconds. */
 	private static final long REPORT_TTL_MS = 1_000;
 
-	private final StatedAbsences absences;
+	private final UnavailabilityRegistry absences;
 
 	private UpstreamEntry entry;
 
@@ -55,15 +55,15 @@
 
 	private long reportedAtMs;
 
-	private final RankedName name;
+	private final HashedName name;
 
 	private long warmFromMs;
 
-	UpstreamState(UpstreamEntry entry, StatedAbsences absences, long nowMs) {
+	UpstreamState(UpstreamEntry entry, UnavailabilityRegistry absences, long nowMs) {
 		this.absences = absences;
 		this.entry = entry;
 		this.incarnation = entry.incarnation();
-		this.name = RankedName.of(entry.id());
+		this.name = HashedName.of(entry.id());
 		this.warmFromMs = nowMs + entry.coldMs();
 	}
 
@@ -85,7 +85,7 @@
 		this.incarnation = fresh.incarnation();
 	}
 
-	RankedName name() {
+	HashedName name() {
 		return this.name;
 	}
 
@@ -94,7 +94,7 @@
 	 * @param nowMs the steady clock
 	 * @return milliseconds; 0 if it is warm
 	 */
-	public long coldMs(long nowMs) {
+	public long remainingColdMs(long nowMs) {
 		return Math.max(this.warmFromMs - nowMs, 0);
 	}
 
@@ -105,7 +105,7 @@
 	 * @return true if it is
 	 */
 	public boolean cold(long nowMs) {
-		return coldMs(nowMs) > 0;
+		return remainingColdMs(nowMs) > 0;
 	}
 
 	/**
@@ -113,22 +113,22 @@
 	 * @param nowMs the steady clock
 	 * @return false if it leaves or rests, or could not be reached lately
 	 */
-	public boolean usable(long nowMs) {
+	public boolean isUsable(long nowMs) {
 		return acceptsInMs(nowMs) == 0 && nowMs >= this.ejectedUntilMs;
 	}
 
 	/**
 	 * Return when the upstream takes requests from this VM, by its own word.
 	 * @param nowMs the steady clock
-	 * @return milliseconds; 0 if it takes them now, {@link StatedAbsences#NEVER} if it
-	 * leaves
+	 * @return milliseconds; 0 if it takes them now, {@link UnavailabilityRegistry#NEVER}
+	 * if it leaves
 	 */
 	public long acceptsInMs(long nowMs) {
-		return gone() ? StatedAbsences.NEVER : this.absences.restMs(this.incarnation, nowMs);
+		return gone() ? UnavailabilityRegistry.NEVER : this.absences.remainingBackoffMs(this.incarnation, nowMs);
 	}
 
 	boolean gone() {
-		return this.entry.draining() || this.absences.leaves(this.incarnation);
+		return this.entry.draining() || this.absences.isDraining(this.incarnation);
 	}
 
 	/**
@@ -145,7 +145,7 @@
 	 * Take note that a prompt has been read.
 	 * @param readMs what was counted for it
 	 */
-	public void onPromptRead(double readMs) {
+	public void onPrefillDone(double readMs) {
 		this.readMsWaiting -= readMs;
 	}
 
--- a/core/src/main/java/org/tallycart/core/upstream/RetryWindow.java
+++ b/core/src/main/java/org/tallycart/core/upstream/WindowedRetryBudget.java
@@ -12,7 +12,7 @@
  *
  * @since 0.1
  */
-public final class RetryWindow {
+public final class WindowedRetryBudget {
 
 	/** Part of the budget that is used, as VMs may count each other late. */
 	private static final double USED_SHARE = 0.8;
@@ -33,7 +33,7 @@
 	 * @param windowMs the window, in milliseconds
 	 * @param slack repeats beside those, over all VMs
 	 */
-	public RetryWindow(double ratio, long windowMs, double slack) {
+	public WindowedRetryBudget(double ratio, long windowMs, double slack) {
 		this.ratio = ratio;
 		this.windowMs = windowMs;
 		this.slack = slack;
@@ -54,7 +54,7 @@
 	 * @param nowMs the steady clock
 	 * @return whether it may be sent
 	 */
-	public boolean tryRepeat(int sharingVms, long nowMs) {
+	public boolean tryAcquire(int sharingVms, long nowMs) {
 		expire(this.arrivals, nowMs);
 		expire(this.repeats, nowMs);
 		double allowed = USED_SHARE * (this.ratio * this.arrivals.size() + this.slack / Math.max(sharingVms, 1));
--- a/core/src/test/java/org/tallycart/core/claim/ClaimInterleavings.java
+++ b/core/src/test/java/org/tallycart/core/claim/ClaimProtocolSimulation.java
@@ -17,7 +17,7 @@
  * freeze and wake with old views, and keys that grow old. Each step checks that no key
  * has run twice and that a submission told NOT_RUN never runs.
  */
-final class ClaimInterleavings {
+final class ClaimProtocolSimulation {
 
 	private static final int VMS = 4;
 
@@ -25,7 +25,7 @@
 
 	private static final long SKEW_MS = 100;
 
-	private static final KeyWindow WINDOW = new KeyWindow(3_000, SKEW_MS);
+	private static final IdempotencyKeyWindow WINDOW = new IdempotencyKeyWindow(3_000, SKEW_MS);
 
 	private final Random random;
 
@@ -49,7 +49,7 @@
 
 	private int completed;
 
-	ClaimInterleavings(long seed) {
+	ClaimProtocolSimulation(long seed) {
 		this.random = new Random(seed);
 		for (int i = 0; i < VMS; i++) {
 			this.nodes.add(new Node("vm-" + i, this.random.nextInt((int) SKEW_MS + 1)));
@@ -172,7 +172,7 @@
 		}
 
 		long wallMs() {
-			return ClaimInterleavings.this.nowMs + this.offsetMs;
+			return ClaimProtocolSimulation.this.nowMs + this.offsetMs;
 		}
 
 		void restart() {
@@ -185,7 +185,7 @@
 		}
 
 		void refresh() {
-			if (this.viewVersion < ClaimInterleavings.this.platformVersion) {
+			if (this.viewVersion < ClaimProtocolSimulation.this.platformVersion) {
 				adopt();
 			}
 			if (this.pendingWrite != null) {
@@ -194,18 +194,18 @@
 		}
 
 		boolean write(SlotMap next) {
-			if (ClaimInterleavings.this.platformVersion != this.viewVersion) {
+			if (ClaimProtocolSimulation.this.platformVersion != this.viewVersion) {
 				return false;
 			}
-			ClaimInterleavings.this.platform = next;
-			ClaimInterleavings.this.platformVersion++;
+			ClaimProtocolSimulation.this.platform = next;
+			ClaimProtocolSimulation.this.platformVersion++;
 			return true;
 		}
 
 		private void adopt() {
-			this.viewVersion = ClaimInterleavings.this.platformVersion;
-			this.view = ClaimInterleavings.this.platform;
-			this.table.adopt(this.view, wallMs());
+			this.viewVersion = ClaimProtocolSimulation.this.platformVersion;
+			this.view = ClaimProtocolSimulation.this.platform;
+			this.table.applySlotMap(this.view, wallMs());
 		}
 
 		void takeOver() {
@@ -214,7 +214,7 @@
 				SlotOwner owner = this.view.owner(slot);
 				boolean mineBefore = owner != null && owner.vm().equals(this.vm)
 						&& owner.incarnation() < this.incarnation;
-				if (owner == null || mineBefore || ClaimInterleavings.this.gone.contains(owner.vm())) {
+				if (owner == null || mineBefore || ClaimProtocolSimulation.this.gone.contains(owner.vm())) {
 					slots.add(slot);
 				}
 			}
@@ -242,9 +242,9 @@
 				this.pendingWrite = null;
 				this.table.unseal(moved);
 			};
-			ClaimInterleavings.this.network.add(() -> {
+			ClaimProtocolSimulation.this.network.add(() -> {
 				if (target.alive && target.incarnation == to && sealed.stream().allMatch(target.table::stage)) {
-					ClaimInterleavings.this.network.add(() -> staged(target, to, from, attempt, moved));
+					ClaimProtocolSimulation.this.network.add(() -> staged(target, to, from, attempt, moved));
 				}
 			});
 		}
@@ -261,7 +261,7 @@
 					this.table.unseal(moved);
 				}
 			};
-			if (ClaimInterleavings.this.random.nextInt(3) > 0) {
+			if (ClaimProtocolSimulation.this.random.nextInt(3) > 0) {
 				refresh();
 			}
 		}
@@ -275,7 +275,7 @@
 				return;
 			}
 			ClaimReply reply = this.table.claim(submission.key, submission.holder(), knownTerm, wallMs());
-			ClaimInterleavings.this.network.add(() -> submission.onReply(reply));
+			ClaimProtocolSimulation.this.network.add(() -> submission.onReply(reply));
 		}
 
 	}
@@ -291,7 +291,7 @@
 
 		private final boolean first;
 
-		private final String id = "s" + ClaimInterleavings.this.submissions.size();
+		private final String id = "s" + ClaimProtocolSimulation.this.submissions.size();
 
 		private boolean over;
 
@@ -304,12 +304,12 @@
 			this.first = first;
 		}
 
-		Holder holder() {
-			return new Holder(this.node.vm, this.id);
+		ClaimHolder holder() {
+			return new ClaimHolder(this.node.vm, this.id);
 		}
 
 		void start() {
-			ClaimInterleavings.this.submissions.add(this);
+			ClaimProtocolSimulation.this.submissions.add(this);
 			if (WINDOW.check(this.key, this.node.wallMs()).isPresent()) {
 				this.over = true;
 				return;
@@ -324,12 +324,12 @@
 				return;
 			}
 			long term = this.node.highestTerms.merge(slot, owner.term(), Math::max);
-			Node target = ClaimInterleavings.this.nodes.stream()
+			Node target = ClaimProtocolSimulation.this.nodes.stream()
 				.filter((other) -> other.vm.equals(owner.vm()))
 				.findFirst()
 				.orElse(null);
 			if (target != null) {
-				ClaimInterleavings.this.network.add(() -> target.onClaim(this, term));
+				ClaimProtocolSimulation.this.network.add(() -> target.onClaim(this, term));
 			}
 		}
 
@@ -350,14 +350,14 @@
 
 		private void runIt() {
 			this.over = true;
-			int count = ClaimInterleavings.this.runs.merge(this.key.text(), 1, Integer::sum);
-			InvariantViolation.unless(count == 1, "key " + this.key.text() + " ran twice");
-			InvariantViolation.unless(!this.toldNotRun, "a submission told NOT_RUN ran");
-			ClaimInterleavings.this.completed++;
+			int count = ClaimProtocolSimulation.this.runs.merge(this.key.text(), 1, Integer::sum);
+			InvariantViolation.check(count == 1, "key " + this.key.text() + " ran twice");
+			InvariantViolation.check(!this.toldNotRun, "a submission told NOT_RUN ran");
+			ClaimProtocolSimulation.this.completed++;
 			SlotOwner owner = this.node.view.owner(this.key.slot(SLOTS));
-			for (Node other : ClaimInterleavings.this.nodes) {
+			for (Node other : ClaimProtocolSimulation.this.nodes) {
 				if (owner != null && other.vm.equals(owner.vm())) {
-					ClaimInterleavings.this.network.add(() -> other.table.finish(this.key, holder(), new byte[1]));
+					ClaimProtocolSimulation.this.network.add(() -> other.table.finish(this.key, holder(), new byte[1]));
 				}
 			}
 		}
@@ -369,9 +369,9 @@
 			this.over = true;
 			this.toldNotRun = this.first;
 			SlotOwner owner = this.node.view.owner(this.key.slot(SLOTS));
-			for (Node other : ClaimInterleavings.this.nodes) {
+			for (Node other : ClaimProtocolSimulation.this.nodes) {
 				if (owner != null && other.vm.equals(owner.vm())) {
-					ClaimInterleavings.this.network.add(() -> other.table.release(this.key, holder()));
+					ClaimProtocolSimulation.this.network.add(() -> other.table.release(this.key, holder()));
 				}
 			}
 		}
--- a/core/src/test/java/org/tallycart/core/claim/ClaimInterleavingTests.java
+++ b/core/src/test/java/org/tallycart/core/claim/ClaimProtocolSimulationTests.java
@@ -6,9 +6,9 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Long seeded runs of the claim protocol; see {@link ClaimInterleavings}.
+ * Long seeded runs of the claim protocol; see {@link ClaimProtocolSimulation}.
  */
-public class ClaimInterleavingTests {
+public class ClaimProtocolSimulationTests {
 
 	private static final int RUNS_PER_BLOCK = 1_000;
 
@@ -23,7 +23,7 @@
 	void noKeyRunsTwiceWhateverTheOrder(int block) {
 		int completed = 0;
 		for (long seed = (long) block * RUNS_PER_BLOCK; seed < (block + 1L) * RUNS_PER_BLOCK; seed++) {
-			ClaimInterleavings run = new ClaimInterleavings(seed);
+			ClaimProtocolSimulation run = new ClaimProtocolSimulation(seed);
 			try {
 				run.run(STEPS);
 			}
--- a/core/src/test/java/org/tallycart/core/claim/ClaimTableTests.java
+++ b/core/src/test/java/org/tallycart/core/claim/ClaimTableTests.java
@@ -4,8 +4,8 @@
 import java.util.UUID;
 
 import org.tallycart.core.claim.ClaimReply.Status;
-import org.tallycart.core.outcome.Ending;
 import org.tallycart.core.outcome.Outcome;
+import org.tallycart.core.outcome.RequestResult;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -14,15 +14,15 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for {@link ClaimTable}, {@link KeyWindow} and {@link SlotMap}.
+ * Tests for {@link ClaimTable}, {@link IdempotencyKeyWindow} and {@link SlotMap}.
  */
 public class ClaimTableTests {
 
-	private static final KeyWindow WINDOW = new KeyWindow(10_000, 100);
+	private static final IdempotencyKeyWindow WINDOW = new IdempotencyKeyWindow(10_000, 100);
 
-	private static final Holder ALICE = new Holder("vm-1", "a");
+	private static final ClaimHolder ALICE = new ClaimHolder("vm-1", "a");
 
-	private static final Holder BOB = new Holder("vm-2", "b");
+	private static final ClaimHolder BOB = new ClaimHolder("vm-2", "b");
 
 	private static final long NOW = 1_000_000;
 
@@ -33,7 +33,7 @@
 
 	private static ClaimTable owner(SlotMap map) {
 		ClaimTable table = ClaimTable.create("vm-1", 1, WINDOW);
-		table.adopt(map, NOW);
+		table.applySlotMap(map, NOW);
 		return table;
 	}
 
@@ -96,7 +96,7 @@
 		from.seal(List.of(0)).forEach(to::stage);
 		assertEquals(from.claim(key(NOW + 1), BOB, 1, NOW).status(), Status.NOT_OWNER);
 		assertEquals(to.claim(key(NOW), BOB, 1, NOW).status(), Status.NOT_OWNER);
-		to.adopt(ownedMap().assign(List.of(0), "vm-2", 5, true), NOW);
+		to.applySlotMap(ownedMap().assign(List.of(0), "vm-2", 5, true), NOW);
 		assertEquals(to.claim(key(NOW), BOB, 2, NOW).status(), Status.HELD);
 		assertEquals(to.claim(key(NOW + 1), BOB, 2, NOW).status(), Status.GRANTED);
 	}
@@ -108,7 +108,7 @@
 		from.seal(List.of(0)).forEach(to::stage);
 		from.unseal(List.of(0));
 		from.claim(key(NOW), ALICE, 1, NOW);
-		to.adopt(ownedMap().assign(List.of(0), "vm-2", 5, false), NOW);
+		to.applySlotMap(ownedMap().assign(List.of(0), "vm-2", 5, false), NOW);
 		assertEquals(to.claim(key(NOW), BOB, 2, NOW).status(), Status.BEFORE_TAKEOVER);
 	}
 
@@ -118,7 +118,7 @@
 		ClaimRecord claim = new ClaimRecord(key(NOW), ALICE, null);
 		assertTrue(to.stage(new SlotHandover(0, 2, Long.MIN_VALUE, 2, List.of(claim))));
 		assertFalse(to.stage(new SlotHandover(0, 2, Long.MIN_VALUE, 1, List.of())));
-		to.adopt(ownedMap().assign(List.of(0), "vm-2", 5, true), NOW);
+		to.applySlotMap(ownedMap().assign(List.of(0), "vm-2", 5, true), NOW);
 		assertEquals(to.claim(key(NOW), BOB, 2, NOW).status(), Status.HELD);
 	}
 
@@ -148,7 +148,7 @@
 
 	@Test(dataProvider = "keyAges")
 	void aKeyOutsideTheWindowIsNotRunOnlyIfNoClockCanHaveAcceptedIt(long age, Outcome expected) {
-		Ending ending = WINDOW.check(key(NOW - age), NOW).orElseThrow();
+		RequestResult ending = WINDOW.check(key(NOW - age), NOW).orElseThrow();
 		assertEquals(ending.outcome(), expected);
 		assertTrue(WINDOW.check(key(NOW), NOW).isEmpty());
 	}
--- a/core/src/test/java/org/tallycart/core/crash/CrashingFleet.java
+++ b/core/src/test/java/org/tallycart/core/crash/CrashingFleetSimulation.java
@@ -19,7 +19,7 @@
  * <p>
  * Not thread-safe.
  */
-final class CrashingFleet {
+final class CrashingFleetSimulation {
 
 	static final String CRASHING = "crashing";
 
@@ -49,11 +49,11 @@
 
 	private final List<Engine> engines = new ArrayList<>();
 
-	private final List<CrashReports> vms = new ArrayList<>();
+	private final List<RecentCrashReports> vms = new ArrayList<>();
 
 	private final List<ServedRequests> served = new ArrayList<>();
 
-	private final CrashLedger ledger = new CrashLedger();
+	private final CrashingRequestDetector ledger = new CrashingRequestDetector();
 
 	private final Set<Fingerprint> kept = new HashSet<>();
 
@@ -69,10 +69,10 @@
 
 	private int lastId;
 
-	CrashingFleet(int vms, int engines, long seed) {
+	CrashingFleetSimulation(int vms, int engines, long seed) {
 		this.random = new Random(seed);
 		for (int i = 0; i < vms; i++) {
-			this.vms.add(new CrashReports());
+			this.vms.add(new RecentCrashReports());
 			this.served.add(new ServedRequests());
 		}
 		for (int i = 0; i < engines; i++) {
@@ -134,15 +134,15 @@
 
 	private void report(CrashReport report) {
 		this.ledger.onReport(report, this.now)
-			.forEach((suspect) -> after(NEWS_MS, () -> ask(suspect, this.ledger.firstEndMs(suspect, this.now))));
-		after(CrashLedger.CONFIRM_MS, () -> {
-			List<Fingerprint> found = this.ledger.take(this.now);
+			.forEach((suspect) -> after(NEWS_MS, () -> ask(suspect, this.ledger.firstCrashMs(suspect, this.now))));
+		after(CrashingRequestDetector.CONFIRM_MS, () -> {
+			List<Fingerprint> found = this.ledger.takeConfirmed(this.now);
 			after(NEWS_MS, () -> keepAway(found));
 		});
 	}
 
 	private void ask(Fingerprint suspect, long sinceMs) {
-		if (this.served.stream().anyMatch((vm) -> vm.since(suspect, sinceMs))) {
+		if (this.served.stream().anyMatch((vm) -> vm.servedSince(suspect, sinceMs))) {
 			after(NEWS_MS, () -> this.ledger.onCleared(suspect, this.now));
 		}
 	}
@@ -163,7 +163,7 @@
 
 		private final boolean comesAgain;
 
-		private final CrashReports vm;
+		private final RecentCrashReports vm;
 
 		private int sends;
 
@@ -172,18 +172,20 @@
 			this.fingerprint = new Fingerprint(content);
 			this.id = id;
 			this.comesAgain = comesAgain;
-			this.vm = CrashingFleet.this.vms.get(CrashingFleet.this.random.nextInt(CrashingFleet.this.vms.size()));
+			this.vm = CrashingFleetSimulation.this.vms
+				.get(CrashingFleetSimulation.this.random.nextInt(CrashingFleetSimulation.this.vms.size()));
 		}
 
 		void send() {
-			Optional<Engine> engine = CrashingFleet.this.engines.stream()
+			Optional<Engine> engine = CrashingFleetSimulation.this.engines.stream()
 				.filter((each) -> each.alive)
-				.min(Comparator.comparingInt((each) -> each.runs.size() * 10 + CrashingFleet.this.random.nextInt(15)));
-			boolean may = this.sends < SENDS && !CrashingFleet.this.kept.contains(this.fingerprint);
+				.min(Comparator
+					.comparingInt((each) -> each.runs.size() * 10 + CrashingFleetSimulation.this.random.nextInt(15)));
+			boolean may = this.sends < SENDS && !CrashingFleetSimulation.this.kept.contains(this.fingerprint);
 			if (may && engine.isPresent()) {
 				this.sends++;
 				countLate(this.content);
-				engine.get().take(new Run(this, CrashingFleet.this.now));
+				engine.get().take(new Run(this, CrashingFleetSimulation.this.now));
 			}
 			else if (this.comesAgain) {
 				after(100, () -> call(this.content, false));
@@ -191,10 +193,11 @@
 		}
 
 		void answered() {
-			CrashingFleet.this.served.get(CrashingFleet.this.vms.indexOf(this.vm))
-				.add(this.fingerprint, CrashingFleet.this.now);
-			if (this.vm.clear(this.fingerprint)) {
-				after(NEWS_MS, () -> CrashingFleet.this.ledger.onCleared(this.fingerprint, CrashingFleet.this.now));
+			CrashingFleetSimulation.this.served.get(CrashingFleetSimulation.this.vms.indexOf(this.vm))
+				.add(this.fingerprint, CrashingFleetSimulation.this.now);
+			if (this.vm.removeSuspect(this.fingerprint)) {
+				after(NEWS_MS, () -> CrashingFleetSimulation.this.ledger.onCleared(this.fingerprint,
+						CrashingFleetSimulation.this.now));
 			}
 		}
 
@@ -240,19 +243,19 @@
 			if (!this.runs.contains(run)) {
 				return;
 			}
-			run.begunMs = CrashingFleet.this.now;
+			run.begunMs = CrashingFleetSimulation.this.now;
 			if (run.request.content.startsWith(CRASHING)) {
-				after(1 + CrashingFleet.this.random.nextInt(CRASH_MS), () -> crash(run));
+				after(1 + CrashingFleetSimulation.this.random.nextInt(CRASH_MS), () -> crash(run));
 			}
 			else {
-				after(200 + CrashingFleet.this.random.nextInt(1_500), () -> answer(run));
+				after(200 + CrashingFleetSimulation.this.random.nextInt(1_500), () -> answer(run));
 			}
 		}
 
 		private void crash(Run run) {
 			if (this.runs.contains(run)) {
-				if (CrashingFleet.this.ends.merge(run.request.content, 1, Integer::sum) == 3) {
-					CrashingFleet.this.thirdEndMs.put(run.request.content, CrashingFleet.this.now);
+				if (CrashingFleetSimulation.this.ends.merge(run.request.content, 1, Integer::sum) == 3) {
+					CrashingFleetSimulation.this.thirdEndMs.put(run.request.content, CrashingFleetSimulation.this.now);
 				}
 				end();
 			}
@@ -269,15 +272,15 @@
 			this.runs.clear();
 			this.alive = false;
 			String incarnation = this.name + "#" + this.life++;
-			long endedMs = CrashingFleet.this.now;
-			Map<CrashReports, List<Suspect>> suspects = new HashMap<>();
+			long endedMs = CrashingFleetSimulation.this.now;
+			Map<RecentCrashReports, List<Suspect>> suspects = new HashMap<>();
 			cut.stream()
 				.filter((run) -> run.begunMs < 0 || endedMs - run.begunMs < BEGIN_MS)
 				.forEach((run) -> suspects.computeIfAbsent(run.request.vm, (key) -> new ArrayList<>())
 					.add(new Suspect(run.request.fingerprint, run.request.id, run.sentMs)));
-			suspects.forEach((vm, all) -> after(30 + CrashingFleet.this.random.nextInt(NEWS_MS),
-					() -> vm.add(CrashReport.of(incarnation, endedMs, all), CrashingFleet.this.now)
-						.ifPresent(CrashingFleet.this::report)));
+			suspects.forEach((vm, all) -> after(30 + CrashingFleetSimulation.this.random.nextInt(NEWS_MS),
+					() -> vm.add(CrashReport.of(incarnation, endedMs, all), CrashingFleetSimulation.this.now)
+						.ifPresent(CrashingFleetSimulation.this::report)));
 			cut.forEach((run) -> run.request.send());
 			after(BACK_MS, () -> this.alive = true);
 		}
--- a/core/src/test/java/org/tallycart/core/crash/CrashLedgerTests.java
+++ b/core/src/test/java/org/tallycart/core/crash/CrashingRequestDetectorTests.java
@@ -10,10 +10,10 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for {@link CrashLedger}: single cases, and fleets of 6 to 300 VMs in virtual
- * time.
+ * Tests for {@link CrashingRequestDetector}: single cases, and fleets of 6 to 300 VMs in
+ * virtual time.
  */
-public class CrashLedgerTests {
+public class CrashingRequestDetectorTests {
 
 	private static final int SEEDS = 30;
 
@@ -22,25 +22,25 @@
 
 	private static final long END_MS = 20_000;
 
-	private static final Fingerprint CRASHING = new Fingerprint(CrashingFleet.CRASHING);
+	private static final Fingerprint CRASHING = new Fingerprint(CrashingFleetSimulation.CRASHING);
 
 	// A request, its id, and when it was sent.
 	private static Suspect suspect(String content, String id, long sentMs) {
 		return new Suspect(new Fingerprint(content), id, sentMs);
 	}
 
-	private static List<Fingerprint> found(CrashLedger of, long atMs) {
-		return of.take(atMs + CrashLedger.CONFIRM_MS);
+	private static List<Fingerprint> found(CrashingRequestDetector of, long atMs) {
+		return of.takeConfirmed(atMs + CrashingRequestDetector.CONFIRM_MS);
 	}
 
 	@Test
 	void threeEndsOneAfterTheOtherUnderTwoIdsNameARequest() {
-		CrashLedger fresh = new CrashLedger();
+		CrashingRequestDetector fresh = new CrashingRequestDetector();
 		fresh.onReport(CrashReport.of("e1", 100, List.of(suspect("a", "r1", 0))), 130);
 		fresh.onReport(CrashReport.of("e2", 200, List.of(suspect("a", "r1", 101))), 230);
 		assertEquals(found(fresh, 230), List.of());
 		fresh.onReport(CrashReport.of("e3", 900, List.of(suspect("a", "r2", 800))), 930);
-		assertEquals(fresh.take(930), List.of(), "not before it could be cleared");
+		assertEquals(fresh.takeConfirmed(930), List.of(), "not before it could be cleared");
 		assertEquals(found(fresh, 930), List.of(new Fingerprint("a")));
 		assertEquals(found(fresh, 2_000), List.of(), "named once");
 	}
@@ -58,7 +58,7 @@
 
 	@Test(dataProvider = "innocent")
 	void whatMayBeBadLuckNamesNone(String name, long[] endedMs, long[] sentMs, String[] ids) {
-		CrashLedger fresh = new CrashLedger();
+		CrashingRequestDetector fresh = new CrashingRequestDetector();
 		for (int i = 0; i < ids.length; i++) {
 			String engine = (i > 0 && endedMs[i] == endedMs[i - 1] && sentMs[i] == sentMs[i - 1]) ? "e" + (i - 1)
 					: "e" + i;
@@ -71,7 +71,7 @@
 	/** Pattern: another request is cut with it at each of its ends, and once more. */
 	@Test
 	void aRequestThatWasAtTheSameEndsIsNotNamedAndTheOneWithMoreEndsIs() {
-		CrashLedger fresh = new CrashLedger();
+		CrashingRequestDetector fresh = new CrashingRequestDetector();
 		for (int i = 0; i < 3; i++) {
 			fresh.onReport(
 					CrashReport.of("e" + i, 1_000 + i * 500,
@@ -88,14 +88,14 @@
 
 	@Test
 	void aRequestThatIsAnsweredIsNotNamed() {
-		CrashLedger fresh = new CrashLedger();
+		CrashingRequestDetector fresh = new CrashingRequestDetector();
 		for (int i = 0; i < 3; i++) {
 			fresh.onReport(CrashReport.of("e" + i, 1_000 + i * 500, List.of(suspect("a", "a" + i, 900 + i * 500))),
 					1_030 + i * 500);
 		}
 		fresh.onCleared(new Fingerprint("a"), 2_100);
 		assertEquals(found(fresh, 2_100), List.of());
-		assertEquals(fresh.ends(new Fingerprint("a")), 0);
+		assertEquals(fresh.crashCount(new Fingerprint("a")), 0);
 	}
 
 	@DataProvider
@@ -108,13 +108,13 @@
 	void oneRequestIsFoundAndNoOther(int vms, int engines, int perSecond) {
 		int most = 0;
 		for (int seed = 0; seed < SEEDS; seed++) {
-			CrashingFleet fleet = new CrashingFleet(vms, engines, seed);
+			CrashingFleetSimulation fleet = new CrashingFleetSimulation(vms, engines, seed);
 			fleet.traffic(perSecond, "other", false, END_MS);
-			fleet.after(2_000, () -> fleet.traffic(3, CrashingFleet.CRASHING, true, END_MS));
+			fleet.after(2_000, () -> fleet.traffic(3, CrashingFleetSimulation.CRASHING, true, END_MS));
 			fleet.runUntil(END_MS);
 			assertEquals(fleet.kept(), Set.of(CRASHING), "seed " + seed);
 			assertEquals(fleet.lateSends(), 0, "seed " + seed);
-			most = Math.max(most, fleet.ends(CrashingFleet.CRASHING));
+			most = Math.max(most, fleet.ends(CrashingFleetSimulation.CRASHING));
 		}
 		assertTrue(most <= MOST_ENDS, most + " ends");
 	}
@@ -123,12 +123,12 @@
 	@Test(dataProvider = "fleets")
 	void twoRequestsAreFoundAndNoOther(int vms, int engines, int perSecond) {
 		for (int seed = 0; seed < SEEDS; seed++) {
-			CrashingFleet fleet = new CrashingFleet(vms, engines, seed);
+			CrashingFleetSimulation fleet = new CrashingFleetSimulation(vms, engines, seed);
 			fleet.traffic(perSecond, "other", false, END_MS);
-			fleet.after(2_000, () -> fleet.traffic(2, CrashingFleet.CRASHING, true, END_MS));
-			fleet.after(2_500, () -> fleet.traffic(2, CrashingFleet.CRASHING + "2", true, END_MS));
+			fleet.after(2_000, () -> fleet.traffic(2, CrashingFleetSimulation.CRASHING, true, END_MS));
+			fleet.after(2_500, () -> fleet.traffic(2, CrashingFleetSimulation.CRASHING + "2", true, END_MS));
 			fleet.runUntil(END_MS);
-			assertEquals(fleet.kept(), Set.of(CRASHING, new Fingerprint(CrashingFleet.CRASHING + "2")),
+			assertEquals(fleet.kept(), Set.of(CRASHING, new Fingerprint(CrashingFleetSimulation.CRASHING + "2")),
 					"seed " + seed + fleet.kept());
 		}
 	}
@@ -137,10 +137,10 @@
 	@Test(dataProvider = "fleets")
 	void aRequestThatManySendIsNotTakenForIt(int vms, int engines, int perSecond) {
 		for (int seed = 0; seed < SEEDS; seed++) {
-			CrashingFleet fleet = new CrashingFleet(vms, engines, seed);
+			CrashingFleetSimulation fleet = new CrashingFleetSimulation(vms, engines, seed);
 			fleet.traffic(perSecond * 2 / 3, "other", false, END_MS);
 			fleet.traffic(perSecond / 3, "many", true, END_MS);
-			fleet.after(2_000, () -> fleet.traffic(3, CrashingFleet.CRASHING, true, END_MS));
+			fleet.after(2_000, () -> fleet.traffic(3, CrashingFleetSimulation.CRASHING, true, END_MS));
 			fleet.runUntil(END_MS);
 			assertEquals(fleet.kept(), Set.of(CRASHING), "seed " + seed);
 		}
@@ -159,7 +159,7 @@
 	@Test(dataProvider = "losses")
 	void enginesThatEndByThemselvesNameNone(int vms, int engines, int perSecond, int lost, int everyMs) {
 		for (int seed = 0; seed < SEEDS; seed++) {
-			CrashingFleet fleet = new CrashingFleet(vms, engines, seed);
+			CrashingFleetSimulation fleet = new CrashingFleetSimulation(vms, engines, seed);
 			fleet.traffic(perSecond * 2 / 3, "other", false, END_MS);
 			fleet.traffic(perSecond / 3, "many", true, END_MS);
 			for (int at = 2_000; at < END_MS; at += everyMs) {
--- a/core/src/test/java/org/tallycart/core/crash/QuarantineTests.java
+++ b/core/src/test/java/org/tallycart/core/crash/QuarantineTests.java
@@ -10,7 +10,7 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for {@link Quarantine}, {@link CrashReports} and {@link ServedRequests}.
+ * Tests for {@link Quarantine}, {@link RecentCrashReports} and {@link ServedRequests}.
  */
 public class QuarantineTests {
 
@@ -39,10 +39,10 @@
 		int[] heard = new int[2];
 		Runnable first = () -> heard[0]++;
 		Runnable second = () -> heard[1]++;
-		quarantine.enter(A, first);
-		quarantine.enter(A, second);
-		quarantine.enter(B, () -> heard[0]--);
-		quarantine.leave(A, second);
+		quarantine.addInFlight(A, first);
+		quarantine.addInFlight(A, second);
+		quarantine.addInFlight(B, () -> heard[0]--);
+		quarantine.removeInFlight(A, second);
 		quarantine.add(A, 1_000);
 		assertEquals(heard, new int[] { 1, 0 });
 	}
@@ -54,11 +54,11 @@
 	void whatTheStoreDoesNotHoldYetStaysAndWhatItHoldsNoMoreEnds() {
 		Quarantine quarantine = new Quarantine();
 		quarantine.add(A, 1_000);
-		assertFalse(quarantine.replaceListed(Map.of()));
+		assertFalse(quarantine.replaceStored(Map.of()));
 		assertEquals(quarantine.remainingMs(A, 0), 1_000);
-		assertTrue(quarantine.replaceListed(Map.of(A, 1_000L, B, 2_000L)));
+		assertTrue(quarantine.replaceStored(Map.of(A, 1_000L, B, 2_000L)));
 		assertEquals(quarantine.remainingMs(B, 0), 2_000);
-		assertTrue(quarantine.replaceListed(Map.of(B, 2_000L)));
+		assertTrue(quarantine.replaceStored(Map.of(B, 2_000L)));
 		assertEquals(quarantine.remainingMs(A, 0), 0);
 	}
 
@@ -76,7 +76,7 @@
 	@Test
 	void onlyARecordWhoseTermIsOverIsToBeRemoved() {
 		Quarantine quarantine = new Quarantine();
-		quarantine.replaceListed(Map.of(A, 1_000L));
+		quarantine.replaceStored(Map.of(A, 1_000L));
 		quarantine.add(B, 1_000);
 		assertEquals(quarantine.expire(999), List.of());
 		assertEquals(quarantine.expire(1_000), List.of(A));
@@ -86,7 +86,7 @@
 	/** Pattern: a report that comes on two ways, or goes round. */
 	@Test
 	void whatWasReportedBeforeIsNoNews() {
-		CrashReports reports = new CrashReports();
+		RecentCrashReports reports = new RecentCrashReports();
 		assertEquals(reports.add(report("u", "a1", "b1"), 100).orElseThrow().suspects().size(), 2);
 		assertTrue(reports.add(report("u", "b1"), 110).isEmpty());
 		assertEquals(reports.add(report("u", "b1", "a2"), 120).orElseThrow().suspects().size(), 1);
@@ -95,20 +95,20 @@
 
 	@Test
 	void aRequestThatWasAnsweredIsNoSuspectWhateverIsToldLater() {
-		CrashReports reports = new CrashReports();
+		RecentCrashReports reports = new RecentCrashReports();
 		reports.add(report("u", "a1", "b1"), 100);
-		assertTrue(reports.clear(A));
-		assertFalse(reports.clear(A), "once");
+		assertTrue(reports.removeSuspect(A));
+		assertFalse(reports.removeSuspect(A), "once");
 		assertTrue(reports.add(report("u", "a1"), 110).isEmpty());
 		assertEquals(reports.all().get(0).suspects().size(), 1);
 	}
 
 	@Test
 	void oldReportsAreForgottenAndTheirSuspectsWithThem() {
-		CrashReports reports = new CrashReports();
+		RecentCrashReports reports = new RecentCrashReports();
 		reports.add(report("u", "a1"), 100);
 		reports.add(CrashReport.of("v", 70_000, List.of(new Suspect(B, "b1", 0))), 70_000);
-		assertFalse(reports.clear(A));
+		assertFalse(reports.removeSuspect(A));
 		assertEquals(reports.all().size(), 1);
 	}
 
@@ -116,9 +116,9 @@
 	void anAnswerCountsFromItsTimeOn() {
 		ServedRequests served = new ServedRequests();
 		served.add(A, 500);
-		assertTrue(served.since(A, 500));
-		assertFalse(served.since(A, 501));
-		assertFalse(served.since(B, 0));
+		assertTrue(served.servedSince(A, 500));
+		assertFalse(served.servedSince(A, 501));
+		assertFalse(served.servedSince(B, 0));
 	}
 
 	@Test
@@ -127,8 +127,8 @@
 		for (int i = 0; i < 3_000; i++) {
 			served.add(new Fingerprint("f" + i), i);
 		}
-		assertFalse(served.since(new Fingerprint("f0"), 0));
-		assertTrue(served.since(new Fingerprint("f2999"), 0));
+		assertFalse(served.servedSince(new Fingerprint("f0"), 0));
+		assertTrue(served.servedSince(new Fingerprint("f2999"), 0));
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/declaration/DeclarationReaderTests.java
+++ b/core/src/test/java/org/tallycart/core/declaration/DeclarationReaderTests.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-import org.tallycart.core.ini.IniText;
+import org.tallycart.core.ini.IniParser;
 import org.tallycart.core.ini.Problem;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -41,7 +41,7 @@
 
 	private static List<String> problems(String text) {
 		List<Problem> problems = new ArrayList<>();
-		var sections = IniText.read("d.ini", text, problems);
+		var sections = IniParser.read("d.ini", text, problems);
 		DeclarationReader.read(sections, (section, source) -> List.of()).peekLeft(problems::addAll);
 		return problems.stream().map(Problem::toString).toList();
 	}
@@ -49,7 +49,7 @@
 	@Test
 	void goodDeclarationsAreRead() {
 		List<Problem> none = new ArrayList<>();
-		Declarations read = DeclarationReader.read(IniText.read("d.ini", GOOD, none), (section, source) -> List.of())
+		Declarations read = DeclarationReader.read(IniParser.read("d.ini", GOOD, none), (section, source) -> List.of())
 			.get();
 		assertTrue(none.isEmpty());
 		assertEquals(read.pipelines().get("gloss").deadlineMs(), 5_000);
--- a/core/src/test/java/org/tallycart/core/fleet/DutyTableTests.java
+++ b/core/src/test/java/org/tallycart/core/fleet/LeaderTableTests.java
@@ -21,11 +21,12 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for {@link DutyTable}: several VMs' tables with an imagined network between them.
+ * Tests for {@link LeaderTable}: several VMs' tables with an imagined network between
+ * them.
  */
-public class DutyTableTests {
+public class LeaderTableTests {
 
-	private static final Duty DUTY = Duty.dispatch("pool");
+	private static final LeaderRole DUTY = LeaderRole.poolDispatcher("pool");
 
 	private static final long STEP_MS = 100;
 
@@ -39,7 +40,7 @@
 
 	@Test
 	void allVmsAgreeOnOneOfTheLargest() {
-		Fleet fleet = new Fleet(40);
+		SimulatedFleet fleet = new SimulatedFleet(40);
 		fleet.run(2_000);
 		assertEquals(fleet.holders(DUTY).size(), 1);
 		int number = Integer.parseInt(fleet.holders(DUTY).iterator().next().substring(3));
@@ -49,13 +50,15 @@
 	/** Four of the VMs are large, so three pools have one each, whatever their names. */
 	@Test(dataProvider = "seeds")
 	void poolsWithLoadDoNotMeetAtOneVmWhileItsEqualsHaveNone(long seed) {
-		DutyTable table = new DutyTable("vm-39");
-		table.know(records(40));
-		List<Duty> duties = IntStream.range(0, 3).mapToObj((i) -> Duty.dispatch("pool" + seed + i)).toList();
-		table.want(duties);
-		table.tick(0);
+		LeaderTable table = new LeaderTable("vm-39");
+		table.updateRecords(records(40));
+		List<LeaderRole> duties = IntStream.range(0, 3)
+			.mapToObj((i) -> LeaderRole.poolDispatcher("pool" + seed + i))
+			.toList();
+		table.setWatchedRoles(duties);
+		table.dueHeartbeats(0);
 		records(4).forEach((record) -> table.onAnswer(record.vm(), 1, false, 10));
-		assertEquals(duties.stream().map(table::holder).distinct().count(), 3);
+		assertEquals(duties.stream().map(table::leader).distinct().count(), 3);
 	}
 
 	/**
@@ -64,12 +67,12 @@
 	 */
 	@Test
 	void whileAllStartFewTakeThemselvesForTheHolder() {
-		Fleet fleet = new Fleet(95);
+		SimulatedFleet fleet = new SimulatedFleet(95);
 		Set<String> unheard = new HashSet<>(fleet.tables.keySet());
 		int dispatchers = 0;
 		for (int step = 0; step < 6; step++) {
 			fleet.down.addAll(unheard);
-			fleet.tables.forEach((vm, table) -> table.tick(fleet.nowMs));
+			fleet.tables.forEach((vm, table) -> table.dueHeartbeats(fleet.nowMs));
 			dispatchers = Math.max(dispatchers, fleet.settledAtThemselves());
 			fleet.down.clear();
 			unheard.removeIf((vm) -> Integer.parseInt(vm.substring(3)) % 6 == fleet.nowMs / STEP_MS);
@@ -80,16 +83,17 @@
 
 	@Test
 	void aVmThatDoesNotAnswerDoesNotKeepTheHolderUnknown() {
-		Fleet fleet = new Fleet(12);
+		SimulatedFleet fleet = new SimulatedFleet(12);
 		IntStream.range(0, 4).forEach((i) -> fleet.down.add("vm-" + i));
 		fleet.run(3_000);
-		fleet.tables.forEach((vm, table) -> assertTrue(fleet.down.contains(vm) || table.settled(DUTY, fleet.nowMs)));
+		fleet.tables
+			.forEach((vm, table) -> assertTrue(fleet.down.contains(vm) || table.isLeaderKnown(DUTY, fleet.nowMs)));
 	}
 
 	@Test
 	void aDutyOfAFailureDomainIsHeldThere() {
-		Fleet fleet = new Fleet(12);
-		Duty duty = Duty.follow("d1");
+		SimulatedFleet fleet = new SimulatedFleet(12);
+		LeaderRole duty = LeaderRole.domainRelay("d1");
 		fleet.want(duty);
 		fleet.run(2_000);
 		int number = Integer.parseInt(fleet.holders(duty).iterator().next().substring(3));
@@ -98,7 +102,7 @@
 
 	@Test(dataProvider = "losses")
 	void aLostHolderIsReplacedWithinASecond(boolean drains) {
-		Fleet fleet = new Fleet(12);
+		SimulatedFleet fleet = new SimulatedFleet(12);
 		fleet.run(3_000);
 		String first = fleet.holders(DUTY).iterator().next();
 		if (drains) {
@@ -115,7 +119,7 @@
 	/** It is asked less often from then on, but what it still makes is not given up. */
 	@Test
 	void aHolderThatDrainsAndAnswersIsNotLost() {
-		Fleet fleet = new Fleet(12);
+		SimulatedFleet fleet = new SimulatedFleet(12);
 		fleet.run(3_000);
 		fleet.table(fleet.holders(DUTY).iterator().next()).drain();
 		fleet.run(6_000);
@@ -124,7 +128,7 @@
 
 	@Test
 	void aVmThatTellsThatItDrainsHoldsNothing() {
-		Fleet fleet = new Fleet(12);
+		SimulatedFleet fleet = new SimulatedFleet(12);
 		fleet.run(3_000);
 		String first = fleet.holders(DUTY).iterator().next();
 		fleet.tables.forEach((vm, table) -> table.onDraining(first));
@@ -139,7 +143,7 @@
 
 	@Test
 	void aHolderThatComesBackHoldsItsDutyAgain() {
-		Fleet fleet = new Fleet(12);
+		SimulatedFleet fleet = new SimulatedFleet(12);
 		fleet.run(3_000);
 		Set<String> before = fleet.holders(DUTY);
 		fleet.down.addAll(before);
@@ -152,7 +156,7 @@
 
 	@Test
 	void recordsOfVmsThatAreGoneDoNotStandInTheWay() {
-		Fleet fleet = new Fleet(12);
+		SimulatedFleet fleet = new SimulatedFleet(12);
 		IntStream.range(0, 8).forEach((i) -> fleet.down.add("vm-" + i));
 		fleet.run(6_000);
 		assertEquals(fleet.holders(DUTY).size(), 1);
@@ -161,8 +165,8 @@
 
 	@Test
 	void questionsDoNotGrowWithTheFleet() {
-		Fleet small = new Fleet(6);
-		Fleet large = new Fleet(300);
+		SimulatedFleet small = new SimulatedFleet(6);
+		SimulatedFleet large = new SimulatedFleet(300);
 		small.run(5_000);
 		large.run(5_000);
 		small.questions = 0;
@@ -175,16 +179,16 @@
 
 	@Test
 	void aVmThatStoodStillDoesNotTakeTheOthersForLost() {
-		Fleet fleet = new Fleet(6);
+		SimulatedFleet fleet = new SimulatedFleet(6);
 		fleet.run(3_000);
 		String other = fleet.tables.keySet()
 			.stream()
 			.filter((vm) -> !fleet.holders(DUTY).contains(vm))
 			.findFirst()
 			.get();
-		DutyTable table = fleet.table(other);
-		table.tick(fleet.nowMs + 5_000);
-		assertEquals(table.takeSilent(fleet.nowMs + 5_000), List.of());
+		LeaderTable table = fleet.table(other);
+		table.dueHeartbeats(fleet.nowMs + 5_000);
+		assertEquals(table.detectFailures(fleet.nowMs + 5_000), List.of());
 	}
 
 	/**
@@ -193,42 +197,42 @@
 	 */
 	@Test
 	void aVmThatIsNotAskedAnyMoreIsNotTakenForLost() {
-		Fleet fleet = new Fleet(12);
-		DutyTable table = fleet.table("vm-11");
-		table.know(records(12).subList(6, 12));
+		SimulatedFleet fleet = new SimulatedFleet(12);
+		LeaderTable table = fleet.table("vm-11");
+		table.updateRecords(records(12).subList(6, 12));
 		fleet.run(1_000);
-		table.know(records(12));
+		table.updateRecords(records(12));
 		fleet.run(FORMER_AND_SILENCE_MS);
 		assertEquals(fleet.lost, Set.of());
-		assertEquals(table.live(), 2);
+		assertEquals(table.liveCount(), 2);
 	}
 
 	@Test
 	void aClosedConnectionIsAskedAnewAtOnce() {
-		Fleet fleet = new Fleet(6);
+		SimulatedFleet fleet = new SimulatedFleet(6);
 		fleet.run(3_000);
 		String holder = fleet.holders(DUTY).iterator().next();
 		String other = fleet.tables.keySet().stream().filter((vm) -> !vm.equals(holder)).findFirst().get();
-		assertTrue(fleet.table(other).onClosed(holder));
-		assertNotEquals(fleet.table(other).holder(DUTY), holder);
+		assertTrue(fleet.table(other).onConnectionClosed(holder));
+		assertNotEquals(fleet.table(other).leader(DUTY), holder);
 		fleet.run(STEP_MS);
-		assertEquals(fleet.table(other).holder(DUTY), holder);
+		assertEquals(fleet.table(other).leader(DUTY), holder);
 	}
 
 	@Test
 	void aRestartIsTold() {
-		DutyTable table = new DutyTable("vm-0");
-		table.know(records(3));
-		assertEquals(table.onAnswer("vm-1", 7, false, 0), DutyTable.Change.FOUND);
-		assertEquals(table.onAnswer("vm-1", 7, false, 10), DutyTable.Change.NONE);
-		assertEquals(table.onAnswer("vm-1", 8, false, 20), DutyTable.Change.RESTARTED);
-		assertEquals(table.onAnswer("unknown", 1, false, 30), DutyTable.Change.NONE);
+		LeaderTable table = new LeaderTable("vm-0");
+		table.updateRecords(records(3));
+		assertEquals(table.onAnswer("vm-1", 7, false, 0), LeaderTable.Change.FOUND);
+		assertEquals(table.onAnswer("vm-1", 7, false, 10), LeaderTable.Change.NONE);
+		assertEquals(table.onAnswer("vm-1", 8, false, 20), LeaderTable.Change.RESTARTED);
+		assertEquals(table.onAnswer("unknown", 1, false, 30), LeaderTable.Change.NONE);
 	}
 
 	@Test(dataProvider = "seeds")
 	void whateverIsLostAHolderAnsweredLatelyAndAllAgreeWhenAllIsWell(long seed) {
 		Random random = new Random(seed);
-		Fleet fleet = new Fleet(4 + random.nextInt(20));
+		SimulatedFleet fleet = new SimulatedFleet(4 + random.nextInt(20));
 		for (int round = 0; round < 20; round++) {
 			String vm = "vm-" + random.nextInt(fleet.tables.size());
 			if (!fleet.down.remove(vm)) {
@@ -250,9 +254,9 @@
 	/**
 	 * Tables of all VMs; what one asks another is answered at once, unless one is down.
 	 */
-	private static final class Fleet {
+	private static final class SimulatedFleet {
 
-		private final Map<String, DutyTable> tables = new TreeMap<>();
+		private final Map<String, LeaderTable> tables = new TreeMap<>();
 
 		private final Set<String> down = new HashSet<>();
 
@@ -266,31 +270,31 @@
 
 		private final Set<String> lost = new HashSet<>();
 
-		private Fleet(int vms) {
+		private SimulatedFleet(int vms) {
 			for (VmRecord record : records(vms)) {
-				DutyTable table = new DutyTable(record.vm());
-				table.know(records(vms));
-				table.want(List.of(DUTY));
+				LeaderTable table = new LeaderTable(record.vm());
+				table.updateRecords(records(vms));
+				table.setWatchedRoles(List.of(DUTY));
 				this.tables.put(record.vm(), table);
 			}
 		}
 
-		private DutyTable table(String vm) {
+		private LeaderTable table(String vm) {
 			return Optional.ofNullable(this.tables.get(vm)).orElseThrow();
 		}
 
 		private int settledAtThemselves() {
 			return (int) this.tables.entrySet()
 				.stream()
-				.filter((each) -> each.getValue().holder(DUTY).equals(each.getKey()))
-				.filter((each) -> each.getValue().settled(DUTY, this.nowMs))
+				.filter((each) -> each.getValue().leader(DUTY).equals(each.getKey()))
+				.filter((each) -> each.getValue().isLeaderKnown(DUTY, this.nowMs))
 				.count();
 		}
 
-		private void want(Duty duty) {
+		private void want(LeaderRole duty) {
 			this.tables.forEach((vm, table) -> {
 				if (table.record(vm).orElseThrow().failureDomain().equals(duty.failureDomain().orElseThrow())) {
-					table.want(List.of(duty));
+					table.setWatchedRoles(List.of(duty));
 				}
 			});
 		}
@@ -306,28 +310,28 @@
 		}
 
 		// A VM that was down stood still: its own time went on now.
-		private void step(String vm, DutyTable table) {
+		private void step(String vm, LeaderTable table) {
 			long pause = this.nowMs - this.stepped.getOrDefault(vm, this.nowMs);
 			this.stepped.put(vm, this.nowMs);
 			if (pause > STEP_MS) {
 				this.answered.replaceAll((pair, at) -> pair.startsWith(vm + ">") ? at + pause : at);
 			}
-			for (VmRecord asked : table.tick(this.nowMs)) {
+			for (VmRecord asked : table.dueHeartbeats(this.nowMs)) {
 				this.questions++;
 				if (!this.down.contains(asked.vm())) {
-					table.onAnswer(asked.vm(), 1, table(asked.vm()).draining(), this.nowMs);
+					table.onAnswer(asked.vm(), 1, table(asked.vm()).isDraining(), this.nowMs);
 					this.answered.put(vm + ">" + asked.vm(), this.nowMs);
 				}
 			}
-			this.lost.addAll(table.takeSilent(this.nowMs));
+			this.lost.addAll(table.detectFailures(this.nowMs));
 		}
 
-		private Set<String> holders(Duty duty) {
+		private Set<String> holders(LeaderRole duty) {
 			Set<String> holders = new HashSet<>();
 			this.tables.forEach((vm, table) -> {
 				boolean concerned = duty.mayBeHeldBy(table.record(vm).orElseThrow());
-				if (concerned && !this.down.contains(vm) && !table.draining()) {
-					holders.add(table.holder(duty));
+				if (concerned && !this.down.contains(vm) && !table.isDraining()) {
+					holders.add(table.leader(duty));
 				}
 			});
 			return holders;
@@ -335,10 +339,10 @@
 
 		private void checkHolders() {
 			this.tables.forEach((vm, table) -> {
-				String holder = table.holder(DUTY);
+				String holder = table.leader(DUTY);
 				if (!this.down.contains(vm) && !holder.equals(vm)) {
 					long age = this.nowMs - this.answered.get(vm + ">" + holder);
-					assertTrue(age <= PeerLink.SPARE_SILENCE_MS + STEP_MS, holder + " answered " + age + " ms ago");
+					assertTrue(age <= PeerLiveness.SPARE_SILENCE_MS + STEP_MS, holder + " answered " + age + " ms ago");
 				}
 			});
 		}
--- a/core/src/test/java/org/tallycart/core/fleet/HeardVmsTests.java
+++ b/core/src/test/java/org/tallycart/core/fleet/PeerReachabilityTests.java
@@ -11,7 +11,7 @@
 /**
  * Tests for the part of a shared rate that a VM grants by which others it hears.
  */
-public class HeardVmsTests {
+public class PeerReachabilityTests {
 
 	private static final long LONG_UP_MS = 100_000;
 
@@ -19,9 +19,9 @@
 		return IntStream.range(0, count).mapToObj((i) -> "vm-" + i).collect(Collectors.toSet());
 	}
 
-	private static HeardVms hears(int count, long nowMs) {
-		HeardVms heard = new HeardVms(0);
-		vms(count).forEach((vm) -> heard.onHeard(vm, nowMs));
+	private static PeerReachability hears(int count, long nowMs) {
+		PeerReachability heard = new PeerReachability(0);
+		vms(count).forEach((vm) -> heard.onMessage(vm, nowMs));
 		return heard;
 	}
 
@@ -39,38 +39,38 @@
 	/** Pattern: a VM is cut off from all others, or all others ended at once. */
 	@Test
 	void whoeverHasLostMostOfTheOthersGrantsAThirdAtMost() {
-		HeardVms heard = hears(5, LONG_UP_MS);
+		PeerReachability heard = hears(5, LONG_UP_MS);
 		long laterMs = LONG_UP_MS + 2_000;
 		assertEquals(heard.shareOfRate(Set.of(), vms(6), laterMs), 1.0 / 3, 1e-9);
 		assertEquals(heard.shareOfRate(Set.of("vm-1"), vms(6), laterMs), 1.0 / 9, 1e-9);
-		heard.onHeard("vm-1", laterMs);
-		heard.onHeard("vm-2", laterMs);
-		heard.onHeard("vm-3", laterMs);
+		heard.onMessage("vm-1", laterMs);
+		heard.onMessage("vm-2", laterMs);
+		heard.onMessage("vm-3", laterMs);
 		assertEquals(heard.shareOfRate(Set.of(), vms(6), laterMs), 1.0);
 	}
 
 	/** Pattern: whoever granted before is lost; who else is lost is not known yet. */
 	@Test
 	void afterALossOnlyWhatIsHeardSinceCounts() {
-		HeardVms heard = hears(5, LONG_UP_MS);
-		heard.onLost(LONG_UP_MS + 10);
+		PeerReachability heard = hears(5, LONG_UP_MS);
+		heard.onPeerLost(LONG_UP_MS + 10);
 		assertEquals(heard.shareOfRate(Set.of("vm-0"), vms(6), LONG_UP_MS + 20), 1.0 / 9, 1e-9);
-		vms(5).stream().skip(1).forEach((vm) -> heard.onHeard(vm, LONG_UP_MS + 200));
+		vms(5).stream().skip(1).forEach((vm) -> heard.onMessage(vm, LONG_UP_MS + 200));
 		assertEquals(heard.shareOfRate(Set.of("vm-0"), vms(6), LONG_UP_MS + 200), 1.0 / 3, 1e-9,
 				"the one before may be heard by others that this one hears, too");
 	}
 
 	@Test
 	void whoeverLeavesIsNotMissed() {
-		HeardVms heard = hears(5, LONG_UP_MS);
-		vms(5).forEach(heard::onLeaving);
+		PeerReachability heard = hears(5, LONG_UP_MS);
+		vms(5).forEach(heard::onDraining);
 		assertEquals(heard.shareOfRate(Set.of(), vms(6), LONG_UP_MS + 5_000), 1.0);
 	}
 
 	/** Pattern: a VM starts, and has heard nobody yet. */
 	@Test
 	void aVmThatHasJustStartedCountsAllThatAreRecorded() {
-		HeardVms heard = new HeardVms(0);
+		PeerReachability heard = new PeerReachability(0);
 		assertEquals(heard.shareOfRate(Set.of(), vms(6), 1_000), 1.0 / 3, 1e-9);
 		assertEquals(heard.shareOfRate(Set.of(), vms(1), 1_000), 1.0);
 		assertEquals(heard.shareOfRate(Set.of(), Set.of(), 1_000), 1.0);
--- a/core/src/test/java/org/tallycart/core/fleet/ReadingFleet.java
+++ b/core/src/test/java/org/tallycart/core/fleet/StoreReaderSimulation.java
@@ -17,7 +17,7 @@
  * <p>
  * Not thread-safe: belongs to one test.
  */
-final class ReadingFleet {
+final class StoreReaderSimulation {
 
 	static final long STEP_MS = 50;
 
@@ -63,7 +63,7 @@
 	 * @param domains how many failure domains they are spread over
 	 * @param seed of the order in which they start
 	 */
-	ReadingFleet(int count, int domains, long seed) {
+	StoreReaderSimulation(int count, int domains, long seed) {
 		this.random = new Random(seed);
 		for (int i = 0; i < count; i++) {
 			int capacity = (i % 5 == 0) ? 1_500 : 360;
@@ -107,17 +107,17 @@
 	}
 
 	long reading() {
-		return live().stream().filter((vm) -> vm.chooser.reading()).count();
+		return live().stream().filter((vm) -> vm.chooser.isReadingStore()).count();
 	}
 
 	String reader() {
-		return live().stream().filter((vm) -> vm.chooser.reading()).findFirst().orElseThrow().name();
+		return live().stream().filter((vm) -> vm.chooser.isReadingStore()).findFirst().orElseThrow().name();
 	}
 
 	// A VM that is told by the reader and passes on.
 	String relay() {
 		return live().stream()
-			.filter((vm) -> !vm.chooser.reading() && vm.followers() > 0)
+			.filter((vm) -> !vm.chooser.isReadingStore() && vm.followers() > 0)
 			.findFirst()
 			.orElseThrow()
 			.name();
@@ -151,9 +151,9 @@
 
 		private final long startMs;
 
-		private final DutyTable table;
+		private final LeaderTable table;
 
-		private final SourceChooser chooser;
+		private final StoreSourceChooser chooser;
 
 		private boolean started;
 
@@ -168,8 +168,8 @@
 		private Vm(VmRecord record, long startMs) {
 			this.record = record;
 			this.startMs = startMs;
-			this.table = new DutyTable(record.vm());
-			this.chooser = new SourceChooser(record.vm(), record.failureDomain());
+			this.table = new LeaderTable(record.vm());
+			this.chooser = new StoreSourceChooser(record.vm(), record.failureDomain());
 		}
 
 		String name() {
@@ -177,18 +177,18 @@
 		}
 
 		private boolean answered() {
-			return !ReadingFleet.this.cut.contains(name());
+			return !StoreReaderSimulation.this.cut.contains(name());
 		}
 
 		private void step() {
-			long now = ReadingFleet.this.nowMs;
+			long now = StoreReaderSimulation.this.nowMs;
 			start(now);
 			learnRecords();
 			if (now - this.reviewedMs >= REVIEW_MS) {
 				this.reviewedMs = now;
 				review(now);
 			}
-			if (this.chooser.reading()) {
+			if (this.chooser.isReadingStore()) {
 				read(now);
 			}
 			beat(now);
@@ -199,10 +199,10 @@
 			if (!this.started) {
 				this.started = true;
 				this.chooser.start(now);
-				ReadingFleet.this.calls += RECORD_CALLS;
+				StoreReaderSimulation.this.calls += RECORD_CALLS;
 				if (answered()) {
-					ReadingFleet.this.stored.put(name(), this.record);
-					this.chooser.onRecorded(now);
+					StoreReaderSimulation.this.stored.put(name(), this.record);
+					this.chooser.onRecordWritten(now);
 					this.recordsKnown = true;
 				}
 			}
@@ -211,52 +211,52 @@
 		// The first list is read when the record is written; others follow from the
 		// source.
 		private void learnRecords() {
-			if (this.recordsKnown && this.table.known() < ReadingFleet.this.stored.size()) {
-				this.table.know(ReadingFleet.this.stored.values());
+			if (this.recordsKnown && this.table.recordCount() < StoreReaderSimulation.this.stored.size()) {
+				this.table.updateRecords(StoreReaderSimulation.this.stored.values());
 			}
 		}
 
 		private void review(long now) {
-			this.chooser.onFollowed(followers() > 0);
-			this.table.want(this.chooser.duties(this.table, now));
-			SourceChooser.Step step = this.chooser.review(this.table, this.known > 0, this.recordsKnown, now);
-			if (step == SourceChooser.Step.ASK) {
+			this.chooser.setHasSubscribers(followers() > 0);
+			this.table.setWatchedRoles(this.chooser.watchedRoles(this.table, now));
+			StoreSourceChooser.Action step = this.chooser.review(this.table, this.known > 0, this.recordsKnown, now);
+			if (step == StoreSourceChooser.Action.ASK) {
 				ask(now);
 			}
-			if (step == SourceChooser.Step.READ) {
-				ReadingFleet.this.calls += BEGIN_CALLS;
+			if (step == StoreSourceChooser.Action.READ) {
+				StoreReaderSimulation.this.calls += BEGIN_CALLS;
 				this.answeredFromMs = now + FIRST_ANSWER_MS;
 			}
 		}
 
 		private void ask(long now) {
-			ReadingFleet.this.calls += ASK_CALLS;
+			StoreReaderSimulation.this.calls += ASK_CALLS;
 			if (answered()) {
-				this.chooser.onStoreAnswered(now);
+				this.chooser.onProbeSuccess(now);
 				review(now);
 			}
 			else {
-				this.chooser.onStoreSilent();
+				this.chooser.onProbeFailure();
 			}
 		}
 
 		private void read(long now) {
-			ReadingFleet.this.calls += READ_CALLS_PER_S * STEP_MS / 1_000;
+			StoreReaderSimulation.this.calls += READ_CALLS_PER_S * STEP_MS / 1_000;
 			if (answered() && now >= this.answeredFromMs) {
-				this.chooser.onContact(now);
-				this.known = ReadingFleet.this.version;
+				this.chooser.onStoreRead(now);
+				this.known = StoreReaderSimulation.this.version;
 				this.recordsKnown = true;
 			}
 		}
 
 		private void beat(long now) {
-			this.table.takeSilent(now);
-			for (VmRecord asked : this.table.tick(now)) {
-				Vm other = ReadingFleet.this.vms.get(asked.vm());
-				boolean hears = other.started && !ReadingFleet.this.down.contains(asked.vm());
+			this.table.detectFailures(now);
+			for (VmRecord asked : this.table.dueHeartbeats(now)) {
+				Vm other = StoreReaderSimulation.this.vms.get(asked.vm());
+				boolean hears = other.started && !StoreReaderSimulation.this.down.contains(asked.vm());
 				if (hears) {
 					this.table.onAnswer(asked.vm(), other.startMs + 1, false, now);
-					boolean passesOn = other.chooser.passesOn(now);
+					boolean passesOn = other.chooser.canRelay(now);
 					this.chooser.onAnswer(asked.vm(), passesOn, passesOn ? other.chooser.storeAgeMs(now) : 0, now);
 				}
 			}
@@ -264,17 +264,18 @@
 
 		// What the source knows comes with its next message.
 		private void hear() {
-			String source = this.chooser.reading() ? "" : this.chooser.wanted(this.table, ReadingFleet.this.nowMs);
-			Vm other = ReadingFleet.this.vms.get(source);
-			if (other != null && !other.name().equals(name()) && !ReadingFleet.this.down.contains(source)) {
+			String source = this.chooser.isReadingStore() ? ""
+					: this.chooser.preferredSource(this.table, StoreReaderSimulation.this.nowMs);
+			Vm other = StoreReaderSimulation.this.vms.get(source);
+			if (other != null && !other.name().equals(name()) && !StoreReaderSimulation.this.down.contains(source)) {
 				this.known = Math.max(this.known, other.known);
 			}
 		}
 
 		long followers() {
-			return ReadingFleet.this.vms.values()
+			return StoreReaderSimulation.this.vms.values()
 				.stream()
-				.filter((vm) -> !vm.chooser.reading() && vm.chooser.source().equals(name()))
+				.filter((vm) -> !vm.chooser.isReadingStore() && vm.chooser.source().equals(name()))
 				.count();
 		}
 
--- a/core/src/test/java/org/tallycart/core/fleet/SourceChooserTests.java
+++ b/core/src/test/java/org/tallycart/core/fleet/StoreSourceChooserTests.java
@@ -13,10 +13,10 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for {@link SourceChooser}: whole fleets in virtual time, and what they ask of the
- * store.
+ * Tests for {@link StoreSourceChooser}: whole fleets in virtual time, and what they ask
+ * of the store.
  */
-public class SourceChooserTests {
+public class StoreSourceChooserTests {
 
 	/** A change has to be in force by then, in milliseconds. */
 	private static final long IN_FORCE_MS = 2_000;
@@ -25,8 +25,8 @@
 
 	private static final int DOMAINS = 6;
 
-	private static ReadingFleet settled(int vms, int domains, long seed) {
-		ReadingFleet fleet = new ReadingFleet(vms, domains, seed);
+	private static StoreReaderSimulation settled(int vms, int domains, long seed) {
+		StoreReaderSimulation fleet = new StoreReaderSimulation(vms, domains, seed);
 		fleet.run(8_000);
 		fleet.takeCalls();
 		return fleet;
@@ -39,12 +39,12 @@
 
 	@Test(dataProvider = "sizes")
 	void oneVmReadsForAllWhateverTheSize(int vms, int domains) {
-		ReadingFleet fleet = settled(vms, domains, 1);
+		StoreReaderSimulation fleet = settled(vms, domains, 1);
 		assertEquals(fleet.reading(), 1);
 		fleet.run(60_000);
 		assertTrue(fleet.takeCalls() <= 150, "calls of the store in a minute do not grow with the fleet");
 		fleet.change();
-		assertTrue(fleet.msUntilAllKnow(IN_FORCE_MS) <= 3 * ReadingFleet.STEP_MS);
+		assertTrue(fleet.msUntilAllKnow(IN_FORCE_MS) <= 3 * StoreReaderSimulation.STEP_MS);
 	}
 
 	/**
@@ -53,7 +53,7 @@
 	 */
 	@Test(dataProvider = "sizes")
 	void aStartOfAllDoesNotSendAllToTheStore(int vms, int domains) {
-		ReadingFleet fleet = new ReadingFleet(vms, domains, 1);
+		StoreReaderSimulation fleet = new StoreReaderSimulation(vms, domains, 1);
 		fleet.run(8_000);
 		checkStart(fleet, vms, domains);
 		fleet.restartAll();
@@ -62,7 +62,7 @@
 		checkStart(fleet, vms, domains);
 	}
 
-	private static void checkStart(ReadingFleet fleet, int vms, int domains) {
+	private static void checkStart(StoreReaderSimulation fleet, int vms, int domains) {
 		double calls = fleet.takeCalls();
 		double most = 2 * vms + 40 * domains;
 		assertTrue(calls <= most, calls + " calls, for " + most + " at most");
@@ -80,13 +80,13 @@
 				row((fleet) -> fleet.cut.addAll(List.of(fleet.reader(), fleet.relay())), 1 + DOMAINS + VMS / DOMAINS) };
 	}
 
-	private static Object[] row(Consumer<ReadingFleet> fault, int mostReading) {
+	private static Object[] row(Consumer<StoreReaderSimulation> fault, int mostReading) {
 		return new Object[] { fault, mostReading };
 	}
 
 	@Test(dataProvider = "losses")
-	void aChangeIsInForceInTimeWhoeverIsLostWithoutANotice(Consumer<ReadingFleet> fault, int mostReading) {
-		ReadingFleet fleet = settled(VMS, DOMAINS, 1);
+	void aChangeIsInForceInTimeWhoeverIsLostWithoutANotice(Consumer<StoreReaderSimulation> fault, int mostReading) {
+		StoreReaderSimulation fleet = settled(VMS, DOMAINS, 1);
 		fault.accept(fleet);
 		fleet.change();
 		long ms = fleet.msUntilAllKnow(10_000);
@@ -97,7 +97,7 @@
 
 	@Test
 	void aLostReaderDoesNotSendAllToTheStore() {
-		ReadingFleet fleet = settled(VMS, DOMAINS, 1);
+		StoreReaderSimulation fleet = settled(VMS, DOMAINS, 1);
 		fleet.down.add(fleet.reader());
 		fleet.run(5_000);
 		double calls = fleet.takeCalls();
@@ -109,7 +109,7 @@
 	 */
 	@Test(dataProvider = "sizes")
 	void anOutageSendsNobodyButTheReaderToTheStore(int vms, int domains) {
-		ReadingFleet fleet = settled(vms, domains, 1);
+		StoreReaderSimulation fleet = settled(vms, domains, 1);
 		fleet.cut.addAll(fleet.vms.keySet());
 		fleet.run(6_000);
 		double calls = fleet.takeCalls();
@@ -127,7 +127,7 @@
 	/** Pattern: the reader is lost while the store is away. */
 	@Test
 	void aReaderThatIsLostInAnOutageIsReplacedWhenTheStoreIsBack() {
-		ReadingFleet fleet = settled(VMS, DOMAINS, 1);
+		StoreReaderSimulation fleet = settled(VMS, DOMAINS, 1);
 		fleet.cut.addAll(fleet.vms.keySet());
 		fleet.run(2_000);
 		fleet.down.add(fleet.reader());
@@ -142,7 +142,7 @@
 	 */
 	@Test
 	void aReaderThatComesBackDoesNotSendTheOthersToTheStore() {
-		ReadingFleet fleet = settled(VMS, DOMAINS, 1);
+		StoreReaderSimulation fleet = settled(VMS, DOMAINS, 1);
 		String reader = fleet.reader();
 		fleet.down.add(reader);
 		fleet.run(5_000);
@@ -159,7 +159,7 @@
 	@Test(dataProvider = "seeds")
 	void whateverIsLostAllKnowInTheEndAndOneReads(long seed) {
 		Random random = new Random(seed);
-		ReadingFleet fleet = settled(4 + random.nextInt(40), 1 + random.nextInt(4), seed);
+		StoreReaderSimulation fleet = settled(4 + random.nextInt(40), 1 + random.nextInt(4), seed);
 		for (int round = 0; round < 10; round++) {
 			toggle(fleet.down, "vm-" + random.nextInt(fleet.vms.size()));
 			toggle(fleet.cut, "vm-" + random.nextInt(fleet.vms.size()));
--- a/core/src/test/java/org/tallycart/core/limit/LimitedFleet.java
+++ b/core/src/test/java/org/tallycart/core/limit/LimitedFleet.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-import org.tallycart.core.fleet.Duty;
-import org.tallycart.core.fleet.DutyTable;
-import org.tallycart.core.fleet.HeardVms;
+import org.tallycart.core.fleet.LeaderRole;
+import org.tallycart.core.fleet.LeaderTable;
+import org.tallycart.core.fleet.PeerReachability;
 import org.tallycart.core.fleet.VmRecord;
 import org.tallycart.core.ini.Address;
 import org.tallycart.core.time.HybridClock;
@@ -135,7 +135,7 @@
 	// The VM that most others ask.
 	String holder() {
 		Map<String, Integer> named = new TreeMap<>();
-		live().forEach((vm) -> named.merge(vm.table.holder(Duty.GRANT), 1, Integer::sum));
+		live().forEach((vm) -> named.merge(vm.table.leader(LeaderRole.GRANT), 1, Integer::sum));
 		return named.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
 	}
 
@@ -223,13 +223,13 @@
 
 		private final long incarnation = ++LimitedFleet.this.incarnations;
 
-		private final DutyTable table;
+		private final LeaderTable table;
 
-		private final HeardVms heard = new HeardVms(LimitedFleet.this.now);
+		private final PeerReachability heard = new PeerReachability(LimitedFleet.this.now);
 
-		private final NamedLimits limits = new NamedLimits();
+		private final StatedLimits limits = new StatedLimits();
 
-		private final RateGrants grants = new RateGrants();
+		private final UpstreamRateLimiter grants = new UpstreamRateLimiter();
 
 		private final HybridClock clock = new HybridClock();
 
@@ -245,7 +245,7 @@
 
 		Vm(String name) {
 			this.name = name;
-			this.table = new DutyTable(name);
+			this.table = new LeaderTable(name);
 			after(START_MS / 2 + LimitedFleet.this.random.nextInt(START_MS / 4), this::hearMissed);
 			after(START_MS, () -> this.ready = true);
 			after(LimitedFleet.this.random.nextInt(TICK_MS), this::tick);
@@ -256,24 +256,24 @@
 				return;
 			}
 			long now = LimitedFleet.this.now;
-			boolean reads = !LimitedFleet.this.storeAway || this.table.known() == 0;
+			boolean reads = !LimitedFleet.this.storeAway || this.table.recordCount() == 0;
 			if (reads && now >= this.readRecordsMs) {
 				this.readRecordsMs = now + RECORDS_MS;
-				this.table.know(LimitedFleet.this.records);
+				this.table.updateRecords(LimitedFleet.this.records);
 			}
-			this.table.want(wanted());
-			this.table.takeSilent(now).forEach((lost) -> this.heard.onLost(now));
-			this.table.tick(now).forEach((record) -> ask(LimitedFleet.this.vms.get(record.vm())));
+			this.table.setWatchedRoles(wanted());
+			this.table.detectFailures(now).forEach((lost) -> this.heard.onPeerLost(now));
+			this.table.dueHeartbeats(now).forEach((record) -> ask(LimitedFleet.this.vms.get(record.vm())));
 			after(TICK_MS, this::tick);
 		}
 
-		private List<Duty> wanted() {
-			List<Duty> wanted = new ArrayList<>();
+		private List<LeaderRole> wanted() {
+			List<LeaderRole> wanted = new ArrayList<>();
 			if (LimitedFleet.this.storeAway) {
-				wanted.add(Duty.READ);
+				wanted.add(LeaderRole.READ);
 			}
 			if (!this.limits.isEmpty()) {
-				wanted.add(Duty.GRANT);
+				wanted.add(LeaderRole.GRANT);
 			}
 			return wanted;
 		}
@@ -284,14 +284,14 @@
 					return;
 				}
 				if (this.draining) {
-					other.heard.onLeaving(this.name);
+					other.heard.onDraining(this.name);
 				}
 				else {
-					other.heard.onHeard(this.name, LimitedFleet.this.now);
+					other.heard.onMessage(this.name, LimitedFleet.this.now);
 				}
 				after(MESSAGE_MS, () -> {
 					if (this.up && reaches(other, this)) {
-						this.heard.onHeard(other.name, LimitedFleet.this.now);
+						this.heard.onMessage(other.name, LimitedFleet.this.now);
 						this.table.onAnswer(other.name, other.incarnation, other.draining, LimitedFleet.this.now);
 					}
 				});
@@ -309,25 +309,25 @@
 			List<Vm> sources = live().stream().filter((other) -> other.ready && reaches(this, other)).toList();
 			if (!sources.isEmpty()) {
 				Vm source = sources.get(LimitedFleet.this.random.nextInt(sources.size()));
-				source.limits.all().forEach((upstream, named) -> learn(named));
-				this.limits.all().forEach((upstream, named) -> source.learn(named));
+				source.limits.snapshot().forEach((upstream, named) -> learn(named));
+				this.limits.snapshot().forEach((upstream, named) -> source.learn(named));
 			}
 		}
 
-		private void learn(NamedLimits.Named named) {
+		private void learn(StatedLimits.LimitStatement named) {
 			this.clock.receive(named.said(), LimitedFleet.this.now);
-			if (this.limits.hear(UPSTREAM, named.perSecond(), named.said(), LimitedFleet.this.now)) {
+			if (this.limits.merge(UPSTREAM, named.perSecond(), named.said(), LimitedFleet.this.now)) {
 				tellAll(named);
 			}
 		}
 
 		private void onReply(OptionalDouble said) {
 			if (said.isPresent() || this.limits.perSecond(UPSTREAM).isPresent()) {
-				learn(new NamedLimits.Named(said, this.clock.tick(LimitedFleet.this.now)));
+				learn(new StatedLimits.LimitStatement(said, this.clock.tick(LimitedFleet.this.now)));
 			}
 		}
 
-		private void tellAll(NamedLimits.Named named) {
+		private void tellAll(StatedLimits.LimitStatement named) {
 			for (Vm other : live()) {
 				after(1 + LimitedFleet.this.random.nextInt(NEWS_MS), () -> {
 					if (reaches(this, other)) {
@@ -343,10 +343,11 @@
 				arrive(this);
 				return;
 			}
-			if (now < this.freeFromMs || !this.table.settled(Duty.GRANT, now) || this.table.known() == 0) {
+			if (now < this.freeFromMs || !this.table.isLeaderKnown(LeaderRole.GRANT, now)
+					|| this.table.recordCount() == 0) {
 				return;
 			}
-			String holder = this.table.holder(Duty.GRANT);
+			String holder = this.table.leader(LeaderRole.GRANT);
 			if (holder.equals(this.name)) {
 				onPermit(grant(now));
 			}
@@ -360,9 +361,9 @@
 				if (!reaches(this, holder)) {
 					return;
 				}
-				holder.learn(this.limits.known(UPSTREAM));
-				boolean grantsHere = holder.table.settled(Duty.GRANT, LimitedFleet.this.now)
-						&& holder.table.holder(Duty.GRANT).equals(holder.name);
+				holder.learn(this.limits.latest(UPSTREAM));
+				boolean grantsHere = holder.table.isLeaderKnown(LeaderRole.GRANT, LimitedFleet.this.now)
+						&& holder.table.leader(LeaderRole.GRANT).equals(holder.name);
 				Permit permit = grantsHere ? holder.grant(LimitedFleet.this.now) : Permit.denied(ANSWER_MS);
 				after(MESSAGE_MS, () -> {
 					if (this.up && reaches(holder, this)) {
@@ -377,8 +378,9 @@
 			if (perSecond.isEmpty()) {
 				return Permit.FREE;
 			}
-			double share = this.heard.shareOfRate(this.table.silentAhead(Duty.GRANT, now), this.table.vms(), now);
-			return this.grants.take(UPSTREAM, perSecond.getAsDouble(), share, 0, now);
+			double share = this.heard.shareOfRate(this.table.unresponsiveAhead(LeaderRole.GRANT, now), this.table.vms(),
+					now);
+			return this.grants.acquire(UPSTREAM, perSecond.getAsDouble(), share, 0, now);
 		}
 
 		private void onPermit(Permit permit) {
--- a/core/src/test/java/org/tallycart/core/limit/LimitedFleetTests.java
+++ b/core/src/test/java/org/tallycart/core/limit/LimitedFleetTests.java
@@ -44,7 +44,7 @@
 	static Object[][] harms() {
 		List<Object[]> rows = new ArrayList<>();
 		for (int vms : new int[] { 6, 18, 86, 300 }) {
-			for (Harm harm : Harm.values()) {
+			for (Fault harm : Fault.values()) {
 				rows.add(new Object[] { harm, vms });
 			}
 		}
@@ -133,7 +133,7 @@
 	}
 
 	@Test(dataProvider = "harms")
-	void aLimitHoldsForAllVmsTogetherUnder(Harm harm, int vms) {
+	void aLimitHoldsForAllVmsTogetherUnder(Fault harm, int vms) {
 		List<String> broken = new ArrayList<>();
 		int seeds = Math.max(SEEDS * 6 / vms, LEAST_SEEDS);
 		for (long seed = 1; seed <= seeds; seed++) {
@@ -223,7 +223,7 @@
 	}
 
 	/** What happens to the VMs while the limit is to hold. */
-	enum Harm {
+	enum Fault {
 
 		/** Nothing. */
 		NONE((fleet, random) -> {
@@ -255,7 +255,7 @@
 
 		private final BiConsumer<LimitedFleet, Random> what;
 
-		Harm(BiConsumer<LimitedFleet, Random> what) {
+		Fault(BiConsumer<LimitedFleet, Random> what) {
 			this.what = what;
 		}
 
--- a/core/src/test/java/org/tallycart/core/limit/ShareTests.java
+++ b/core/src/test/java/org/tallycart/core/limit/ShareAllocationTests.java
@@ -11,7 +11,7 @@
 /**
  * Tests for workspace limits over several VMs.
  */
-public class ShareTests {
+public class ShareAllocationTests {
 
 	private static final double LIMIT = 100;
 
@@ -20,23 +20,23 @@
 	/** Answers are lost, late, and homes move; what all VMs let in is counted. */
 	private static int admitted(long seed, double lossShare, boolean moveHome, long durationMs) {
 		Random random = new Random(seed);
-		List<ShareHolder> holders = new ArrayList<>();
+		List<ShareLimiter> holders = new ArrayList<>();
 		for (int i = 0; i < VMS; i++) {
-			holders.add(ShareHolder.create(0));
+			holders.add(ShareLimiter.create(0));
 		}
-		ShareHome home = ShareHome.create(-10_000);
+		ShareAllocator home = ShareAllocator.create(-10_000);
 		int admitted = 0;
 		for (long now = 0; now < durationMs; now += 5) {
 			if (moveHome && now % 7_000 == 0 && now > 0) {
-				home = ShareHome.create(now);
+				home = ShareAllocator.create(now);
 			}
 			int hot = (int) (now / 4_000) % VMS;
 			for (int vm = 0; vm < VMS; vm++) {
-				ShareHolder holder = holders.get(vm);
+				ShareLimiter holder = holders.get(vm);
 				boolean arrives = random.nextDouble() < ((vm == hot) ? 1 : 0.05);
-				admitted += (arrives && holder.tryEnter(LIMIT, VMS, now)) ? 1 : 0;
+				admitted += (arrives && holder.tryAcquire(LIMIT, VMS, now)) ? 1 : 0;
 				if (now % 500 == vm * 5) {
-					double rate = home.grant(holder.ask("w", "vm" + vm, now), LIMIT, now + 2);
+					double rate = home.allocate(holder.createRequest("w", "vm" + vm, now), LIMIT, now + 2);
 					if (random.nextDouble() >= lossShare) {
 						holder.onGrant(rate, now);
 					}
@@ -65,7 +65,7 @@
 	@Test
 	void aVmThatHearsNothingKeepsASafeShare() {
 		int total = admitted(1, 1, false, 60_000);
-		double safe = LIMIT * ShareHome.SAFE_PART * 60;
+		double safe = LIMIT * ShareAllocator.SAFE_PART * 60;
 		assertTrue(total <= safe + VMS, "let in " + total);
 		assertTrue(total >= safe * 0.5, "let in " + total);
 	}
--- a/core/src/test/java/org/tallycart/core/limit/NamedLimitsTests.java
+++ b/core/src/test/java/org/tallycart/core/limit/StatedLimitsTests.java
@@ -14,15 +14,15 @@
 /**
  * Tests for what one VM knows of the limits that upstreams have named.
  */
-public class NamedLimitsTests {
+public class StatedLimitsTests {
 
 	private static final OptionalDouble NONE = OptionalDouble.empty();
 
-	private NamedLimits limits = new NamedLimits();
+	private StatedLimits limits = new StatedLimits();
 
 	@BeforeMethod
 	void begin() {
-		this.limits = new NamedLimits();
+		this.limits = new StatedLimits();
 	}
 
 	private static OptionalDouble rate(double perSecond) {
@@ -30,7 +30,7 @@
 	}
 
 	private boolean hear(OptionalDouble perSecond, long saidMs) {
-		return this.limits.hear("u", perSecond, new HybridTimestamp(saidMs, 0), saidMs);
+		return this.limits.merge("u", perSecond, new HybridTimestamp(saidMs, 0), saidMs);
 	}
 
 	@DataProvider
--- a/core/src/test/java/org/tallycart/core/membership/MembershipTests.java
+++ b/core/src/test/java/org/tallycart/core/membership/MembershipTests.java
@@ -32,10 +32,10 @@
 	@Test
 	void newsOfAnEarlierIncarnationIsDropped() {
 		PeerTable table = PeerTable.create();
-		assertTrue(table.hear(new Peer("vm-1", 5, false, 100)));
-		assertFalse(table.hear(new Peer("vm-1", 4, false, 200)));
-		assertTrue(table.hear(new Peer("vm-1", 5, true, 300)));
-		assertTrue(table.hear(new Peer("vm-1", 5, false, 400)));
+		assertTrue(table.update(new Peer("vm-1", 5, false, 100)));
+		assertFalse(table.update(new Peer("vm-1", 4, false, 200)));
+		assertTrue(table.update(new Peer("vm-1", 5, true, 300)));
+		assertTrue(table.update(new Peer("vm-1", 5, false, 400)));
 		assertTrue(table.peer("vm-1").draining(), "a drain is final for an incarnation");
 		assertEquals(table.active(400, 1_000), List.of());
 	}
@@ -92,7 +92,7 @@
 			vms.add(new Vm("vm-" + i, Vm.ROLE_ENTRY, "d" + i % 4, new Address("10.0.0.1", 1), VmState.LIVE));
 		}
 		VmList all = new VmList(1, vms);
-		long watchers = vms.stream().filter((vm) -> WatcherSelection.watches(vm.id(), vm.domain(), all)).count();
+		long watchers = vms.stream().filter((vm) -> WatcherSelection.isWatcher(vm.id(), vm.domain(), all)).count();
 		assertEquals(watchers, 4 * WatcherSelection.PER_DOMAIN);
 	}
 
--- a/core/src/test/java/org/tallycart/core/outcome/RequestLedgerTests.java
+++ b/core/src/test/java/org/tallycart/core/outcome/AttemptTrackerTests.java
@@ -12,15 +12,15 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for {@link RequestLedger}.
+ * Tests for {@link AttemptTracker}.
  */
-public class RequestLedgerTests {
+public class AttemptTrackerTests {
 
-	private static final Ending NOT_RUN = Ending.of(Outcome.NOT_RUN, Reason.DEADLINE, "");
+	private static final RequestResult NOT_RUN = RequestResult.of(Outcome.NOT_RUN, Reason.DEADLINE, "");
 
 	@Test
 	void nothingBegunIsNotRun() {
-		RequestLedger ledger = RequestLedger.open("r", false);
+		AttemptTracker ledger = AttemptTracker.create("r", false);
 		ledger.plan("generate");
 		assertEquals(ledger.end(NOT_RUN).outcome(), Outcome.NOT_RUN);
 	}
@@ -35,7 +35,7 @@
 
 	@Test(dataProvider = "endings")
 	void theOutcomeToldFollowsWhatBegan(boolean repeatable, AttemptState state, Outcome expected) {
-		RequestLedger ledger = RequestLedger.open("r", repeatable);
+		AttemptTracker ledger = AttemptTracker.create("r", repeatable);
 		int attempt = ledger.plan("dispatch");
 		assertTrue(ledger.begin(attempt));
 		ledger.close(attempt, state);
@@ -44,7 +44,7 @@
 
 	@Test
 	void aLaterStagesRefusalIsFailedNotNotRun() {
-		RequestLedger ledger = RequestLedger.open("r", true);
+		AttemptTracker ledger = AttemptTracker.create("r", true);
 		int encode = ledger.plan("encode");
 		ledger.begin(encode);
 		ledger.accept(encode);
@@ -53,7 +53,7 @@
 
 	@Test
 	void aLateAnswerOfAnAbandonedAttemptIsDroppedAndCounted() {
-		RequestLedger ledger = RequestLedger.open("r", true);
+		AttemptTracker ledger = AttemptTracker.create("r", true);
 		int slow = ledger.plan("encode");
 		ledger.begin(slow);
 		int fast = ledger.plan("encode");
@@ -66,7 +66,7 @@
 
 	@Test
 	void aCallThatMayNotBeRepeatedBeginsAgainOnlyAfterARefusal() {
-		RequestLedger ledger = RequestLedger.open("r", false);
+		AttemptTracker ledger = AttemptTracker.create("r", false);
 		int first = ledger.plan("dispatch");
 		assertTrue(ledger.begin(first));
 		assertFalse(ledger.begin(ledger.plan("dispatch")));
@@ -79,7 +79,7 @@
 		for (long seed = 0; seed < 20_000; seed++) {
 			Random random = new Random(seed);
 			boolean repeatable = random.nextBoolean();
-			RequestLedger ledger = RequestLedger.open("r" + seed, repeatable);
+			AttemptTracker ledger = AttemptTracker.create("r" + seed, repeatable);
 			List<Integer> attempts = new ArrayList<>();
 			int accepted = 0;
 			for (int i = 0; i < 30; i++) {
@@ -93,8 +93,8 @@
 					case 3 -> ledger.close(attempt, AttemptState.values()[3 + random.nextInt(3)]);
 					default -> {
 						if (random.nextInt(10) == 0) {
-							Ending ending = ledger.end(NOT_RUN);
-							assertEquals(ledger.end(Ending.complete()), ending, "an ending is set once");
+							RequestResult ending = ledger.end(NOT_RUN);
+							assertEquals(ledger.end(RequestResult.complete()), ending, "an ending is set once");
 							assertFalse(ledger.begin(ledger.plan("late")), "nothing begins after the ending");
 						}
 					}
