--- a/core/src/test/java/org/tallycart/core/pool/PoolDispatcherTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/PoolDispatcherTests.java
@@ -42,20 +42,23 @@
 	}
 
 	private static UpstreamEntry worker(String id, String domain, boolean draining) {
-		return UpstreamEntry.of(id, "pool").at(new Address("10.0.0.1", 1), domain).draining(draining).build();
+		return UpstreamEntry.builder(id, "pool")
+			.location(new Address("10.0.0.1", 1), domain)
+			.draining(draining)
+			.build();
 	}
 
 	private static PieceJob job(String request, int priority, long objectiveMs, String domain, long bytes) {
-		return PieceJob.of(new PieceId(request, 0, 0), "pool")
-			.needed(objectiveMs, objectiveMs + 5_000)
+		return PieceJob.builder(new PieceId(request, 0, 0), "pool")
+			.dueBy(objectiveMs, objectiveMs + 5_000)
 			.priority(priority)
-			.wantedIn(domain, bytes)
+			.preferredDomain(domain, bytes)
 			.result(bytes, false)
 			.build();
 	}
 
 	private void ask(PieceJob job) {
-		this.dispatcher.ask(job, this.heard::put);
+		this.dispatcher.submit(job, this.heard::put);
 	}
 
 	private static List<String> requests(Optional<PoolCall> call) {
@@ -77,18 +80,18 @@
 	}
 
 	private static List<PieceOutcome> made(PoolCall call) {
-		return call.jobs().stream().map((job) -> PieceOutcome.made("w/" + job.id().requestId())).toList();
+		return call.jobs().stream().map((job) -> PieceOutcome.completed("w/" + job.id().requestId())).toList();
 	}
 
 	@Test
 	void lateWorkWhoseInputsHoldRoomIsEndedBeforeNewWorkOfItsRank() {
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
 		ask(job("new", 1, 40, "d", SMALL));
-		ask(PieceJob.of(new PieceId("begun", 2, 0), "pool")
-			.from("", List.of("m/1"))
-			.needed(50, 5_000)
+		ask(PieceJob.builder(new PieceId("begun", 2, 0), "pool")
+			.source("", List.of("m/1"))
+			.dueBy(50, 5_000)
 			.priority(1)
-			.wantedIn("d", LARGE)
+			.preferredDomain("d", LARGE)
 			.result(SMALL, false)
 			.build());
 		assertEquals(requests(this.dispatcher.nextCall(100)), List.of("begun", "new"));
@@ -114,7 +117,7 @@
 		long now = 0;
 		for (int i = 0; i < 10; i++) {
 			PoolCall call = this.dispatcher.nextCall(now).orElseThrow();
-			this.dispatcher.onAnswer(call.number(), List.of(PieceOutcome.notMade(PieceOutcome.Status.NO_ROOM)),
+			this.dispatcher.onAnswer(call.number(), List.of(PieceOutcome.notCompleted(PieceOutcome.Status.NO_ROOM)),
 					now + 4);
 			assertTrue(this.dispatcher.nextCall(now + 5).isEmpty(), "a pause");
 			now += 100;
@@ -157,7 +160,10 @@
 	}
 
 	private static PieceJob together(String request, int piece) {
-		return PieceJob.of(new PieceId(request, 1, piece), "pool").needed(50_000, 90_000).result(SMALL, true).build();
+		return PieceJob.builder(new PieceId(request, 1, piece), "pool")
+			.dueBy(50_000, 90_000)
+			.result(SMALL, true)
+			.build();
 	}
 
 	@DataProvider
@@ -247,7 +253,7 @@
 		assertTrue(this.heard.isEmpty());
 		this.dispatcher.tick(4_800);
 		assertEquals(this.heard.get(new PieceId("r", 0, 0)).status(), PieceOutcome.Status.LATE);
-		assertEquals(this.dispatcher.waiting(), 0);
+		assertEquals(this.dispatcher.queueSize(), 0);
 	}
 
 	@Test
@@ -288,16 +294,16 @@
 	}
 
 	private static PieceJob reader(String request) {
-		return PieceJob.of(new PieceId(request, 2, 0), "pool")
-			.from("", List.of("m/1"))
-			.needed(5_000, 9_000)
-			.wantedIn("d", LARGE)
+		return PieceJob.builder(new PieceId(request, 2, 0), "pool")
+			.source("", List.of("m/1"))
+			.dueBy(5_000, 9_000)
+			.preferredDomain("d", LARGE)
 			.result(SMALL, false)
 			.build();
 	}
 
 	private void askForNotes(PieceJob job, List<PieceId> read) {
-		this.dispatcher.ask(job, new PieceAsker() {
+		this.dispatcher.submit(job, new PieceListener() {
 
 			@Override
 			public void onOutcome(PieceId id, PieceOutcome outcome) {
@@ -362,7 +368,7 @@
 	@Test
 	void aDispatcherThatStopsHandsBackWhatWaitsAndEndsItsCalls() {
 		List<PieceId> back = new ArrayList<>();
-		PieceAsker asker = new PieceAsker() {
+		PieceListener asker = new PieceListener() {
 
 			@Override
 			public void onOutcome(PieceId id, PieceOutcome outcome) {
@@ -376,18 +382,18 @@
 
 		};
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
-		this.dispatcher.ask(job("running", 0, 9_000, "d", SMALL), asker);
+		this.dispatcher.submit(job("running", 0, 9_000, "d", SMALL), asker);
 		PoolCall call = this.dispatcher.nextCall(0).orElseThrow();
-		this.dispatcher.ask(job("waiting", 0, 9_000, "d", SMALL), asker);
+		this.dispatcher.submit(job("waiting", 0, 9_000, "d", SMALL), asker);
 		this.dispatcher.stop();
-		this.dispatcher.ask(job("asked later", 0, 9_000, "d", SMALL), asker);
+		this.dispatcher.submit(job("asked later", 0, 9_000, "d", SMALL), asker);
 		assertEquals(back, List.of(new PieceId("waiting", 0, 0), new PieceId("asked later", 0, 0)));
 		assertTrue(this.heard.isEmpty());
 		this.dispatcher.onAnswer(call.number(), made(call), 220);
 		assertEquals(this.heard.keySet(), Set.of(new PieceId("running", 0, 0)));
-		assertEquals(this.dispatcher.waiting() + this.dispatcher.callsInProgress(), 0);
+		assertEquals(this.dispatcher.queueSize() + this.dispatcher.callsInProgress(), 0);
 		this.dispatcher.resume();
-		this.dispatcher.ask(job("nobody else", 0, 9_000, "d", SMALL), asker);
+		this.dispatcher.submit(job("nobody else", 0, 9_000, "d", SMALL), asker);
 		assertTrue(this.dispatcher.nextCall(300).isPresent());
 	}
 
@@ -418,8 +424,8 @@
 	void aSecondAskForAPieceIsHeardByTheSecondAskerOnly() {
 		List<String> askers = new ArrayList<>();
 		PieceJob job = job("r", 0, 9_000, "d", SMALL);
-		this.dispatcher.ask(job, (id, outcome) -> askers.add("first"));
-		this.dispatcher.ask(job, (id, outcome) -> askers.add("second"));
+		this.dispatcher.submit(job, (id, outcome) -> askers.add("first"));
+		this.dispatcher.submit(job, (id, outcome) -> askers.add("second"));
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
 		PoolCall call = this.dispatcher.nextCall(0).orElseThrow();
 		assertEquals(call.jobs().size(), 1);
@@ -450,7 +456,7 @@
 			if (now < 4_000 && random.nextInt(4) == 0) {
 				PieceJob job = job("r" + asked, random.nextInt(3), now + 1_000, "d" + random.nextInt(2),
 						random.nextBoolean() ? LARGE : SMALL);
-				this.dispatcher.ask(job, (id, outcome) -> outcomes.merge(id, 1, Integer::sum));
+				this.dispatcher.submit(job, (id, outcome) -> outcomes.merge(id, 1, Integer::sum));
 				asked++;
 			}
 			if (random.nextInt(100) == 0) {
@@ -485,8 +491,8 @@
 		for (PieceJob job : call.jobs()) {
 			PieceOutcome.Status[] kinds = PieceOutcome.Status.values();
 			PieceOutcome.Status kind = kinds[random.nextInt(kinds.length)];
-			outcomes.add((kind != PieceOutcome.Status.MADE) ? PieceOutcome.notMade(kind)
-					: PieceOutcome.made("w/" + job.id().requestId()));
+			outcomes.add((kind != PieceOutcome.Status.MADE) ? PieceOutcome.notCompleted(kind)
+					: PieceOutcome.completed("w/" + job.id().requestId()));
 		}
 		this.dispatcher.onAnswer(call.number(), outcomes, now);
 	}
--- a/core/src/test/java/org/tallycart/core/pool/PoolWorkerChangesTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/PoolWorkerChangesTests.java
@@ -9,7 +9,7 @@
 import org.tallycart.core.ini.Address;
 import org.tallycart.core.serving.PoolSpec;
 import org.tallycart.core.serving.UpstreamEntry;
-import org.tallycart.core.upstream.StatedAbsences;
+import org.tallycart.core.upstream.UnavailabilityRegistry;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -21,7 +21,7 @@
  */
 public class PoolWorkerChangesTests {
 
-	private static final PieceAsker NOBODY = (id, outcome) -> {
+	private static final PieceListener NOBODY = (id, outcome) -> {
 		// Nothing is asked of the outcome here.
 	};
 
@@ -35,16 +35,16 @@
 	}
 
 	private static UpstreamEntry worker(String id, String domain, long startedMs) {
-		return UpstreamEntry.of(id, "pool")
-			.started(OptionalLong.of(startedMs))
-			.at(new Address("10.0.0.1", 1), domain)
+		return UpstreamEntry.builder(id, "pool")
+			.startedMs(OptionalLong.of(startedMs))
+			.location(new Address("10.0.0.1", 1), domain)
 			.build();
 	}
 
 	private void ask(String request, long resultBytes) {
-		this.dispatcher.ask(PieceJob.of(new PieceId(request, 0, 0), "pool")
-			.from("key", List.of())
-			.needed(5_000, 9_000)
+		this.dispatcher.submit(PieceJob.builder(new PieceId(request, 0, 0), "pool")
+			.source("key", List.of())
+			.dueBy(5_000, 9_000)
 			.result(resultBytes, false)
 			.build(), NOBODY);
 	}
@@ -66,7 +66,7 @@
 		assertTrue(this.dispatcher.nextCall(20).isEmpty());
 		this.dispatcher.updateWorkers(workers, Set.of());
 		assertTrue(this.dispatcher.nextCall(30).isEmpty(), "both still have their calls");
-		this.dispatcher.onAnswer(running.number(), List.of(PieceOutcome.made("h1")), 210);
+		this.dispatcher.onAnswer(running.number(), List.of(PieceOutcome.completed("h1")), 210);
 		assertEquals(this.dispatcher.nextCall(210).orElseThrow().worker(), running.worker());
 	}
 
@@ -106,7 +106,7 @@
 	void aWorkerGetsACallOnlyWhenItTakesOne() {
 		Set<String> closed = new HashSet<>(Set.of("w1"));
 		List<String> called = new ArrayList<>();
-		PoolDispatcher limited = new PoolDispatcher(SPEC, new CallLimit() {
+		PoolDispatcher limited = new PoolDispatcher(SPEC, new CallLimiter() {
 
 			@Override
 			public boolean mayCall(UpstreamEntry worker) {
@@ -125,10 +125,10 @@
 
 		});
 		limited.updateWorkers(List.of(worker("w1", "d1", 1), worker("w2", "d1", 1)), Set.of());
-		limited.ask(job("r1"), NOBODY);
-		limited.ask(job("r2"), NOBODY);
+		limited.submit(job("r1"), NOBODY);
+		limited.submit(job("r2"), NOBODY);
 		assertEquals(limited.nextCall(0).orElseThrow().worker().id(), "w2");
-		limited.ask(job("r3"), NOBODY);
+		limited.submit(job("r3"), NOBODY);
 		assertTrue(limited.nextCall(10).isEmpty());
 		closed.clear();
 		assertEquals(limited.nextCall(20).orElseThrow().worker().id(), "w1");
@@ -136,8 +136,8 @@
 	}
 
 	/** What workers say of themselves, as one VM knows it. */
-	private static CallLimit stated(StatedAbsences absences, long nowMs) {
-		return new CallLimit() {
+	private static CallLimiter stated(UnavailabilityRegistry absences, long nowMs) {
+		return new CallLimiter() {
 
 			@Override
 			public boolean mayCall(UpstreamEntry worker) {
@@ -160,36 +160,36 @@
 	/** Pattern: of two workers one says that it leaves, or needs rest; pieces wait. */
 	@Test
 	void aWorkerThatLeavesOrRestsGetsNoCallAndPiecesGoToTheOther() {
-		StatedAbsences absences = new StatedAbsences();
+		UnavailabilityRegistry absences = new UnavailabilityRegistry();
 		PoolDispatcher pool = new PoolDispatcher(SPEC, stated(absences, 0));
 		UpstreamEntry leaving = worker("w1", "d1", 1);
 		UpstreamEntry other = worker("w2", "d1", 1);
 		pool.updateWorkers(List.of(leaving, other), Set.of());
-		absences.onLeaving(leaving.incarnation(), 0);
-		pool.ask(job("r1"), NOBODY);
+		absences.onDraining(leaving.incarnation(), 0);
+		pool.submit(job("r1"), NOBODY);
 		assertEquals(pool.nextCall(0).orElseThrow().worker(), other);
-		pool.ask(job("r2"), NOBODY);
+		pool.submit(job("r2"), NOBODY);
 		assertTrue(pool.nextCall(0).isEmpty(), "it waits for the other one");
-		assertEquals(pool.waiting(), 1);
+		assertEquals(pool.queueSize(), 1);
 	}
 
 	/** Pattern: all workers need rest, and a failure domain of others is evacuated. */
 	@Test
 	void whereAllRestPiecesAreToldWhenTheFirstTakesCalls() {
-		StatedAbsences absences = new StatedAbsences();
+		UnavailabilityRegistry absences = new UnavailabilityRegistry();
 		PoolDispatcher pool = new PoolDispatcher(SPEC, stated(absences, 0));
 		List<PieceOutcome> heard = new ArrayList<>();
-		pool.ask(job("early"), (id, outcome) -> heard.add(outcome));
+		pool.submit(job("early"), (id, outcome) -> heard.add(outcome));
 		assertTrue(pool.nextCall(0).isEmpty());
 		assertEquals(heard, List.of(), "which workers there are is not known yet");
 		UpstreamEntry first = worker("w1", "d1", 1);
 		UpstreamEntry second = worker("w2", "d1", 1);
 		pool.updateWorkers(List.of(first, second, worker("w3", "d2", 1)), Set.of("d2"));
-		absences.onRest(first.incarnation(), 2_000, 0);
-		absences.onRest(second.incarnation(), 700, 0);
+		absences.onBackoff(first.incarnation(), 2_000, 0);
+		absences.onBackoff(second.incarnation(), 700, 0);
 		assertTrue(pool.nextCall(0).isEmpty());
 		assertEquals(heard, List.of(PieceOutcome.noWorker(700)));
-		assertEquals(pool.waiting(), 0);
+		assertEquals(pool.queueSize(), 0);
 	}
 
 	/** Pattern: all workers of a pool have left before others take their place. */
@@ -197,14 +197,17 @@
 	void withoutAnyWorkerPiecesAreNotHeld() {
 		List<PieceOutcome> heard = new ArrayList<>();
 		this.dispatcher.updateWorkers(List.of(), Set.of());
-		this.dispatcher.ask(job("r1"), (id, outcome) -> heard.add(outcome));
+		this.dispatcher.submit(job("r1"), (id, outcome) -> heard.add(outcome));
 		assertTrue(this.dispatcher.nextCall(0).isEmpty());
 		assertEquals(heard.get(0).status(), PieceOutcome.Status.NO_WORKER);
 		assertTrue(heard.get(0).retryAfterMs() > 0);
 	}
 
 	private static PieceJob job(String request) {
-		return PieceJob.of(new PieceId(request, 0, 0), "pool").from("key", List.of()).needed(5_000, 9_000).build();
+		return PieceJob.builder(new PieceId(request, 0, 0), "pool")
+			.source("key", List.of())
+			.dueBy(5_000, 9_000)
+			.build();
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/pool/QueueOrderTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/QueueOrderTests.java
@@ -36,14 +36,14 @@
 
 	@Test(dataProvider = "queues")
 	void theOrderIs(String pattern, List<String> queue, String expected) {
-		List<Waiting> waiting = new ArrayList<>();
+		List<PendingPiece> waiting = new ArrayList<>();
 		for (String each : queue) {
 			String[] words = each.split(" ");
-			PieceJob job = PieceJob.of(new PieceId(words[0], 0, 0), "pool")
-				.needed(Long.parseLong(words[2]), 9_000)
+			PieceJob job = PieceJob.builder(new PieceId(words[0], 0, 0), "pool")
+				.dueBy(Long.parseLong(words[2]), 9_000)
 				.priority(Integer.parseInt(words[1]))
 				.build();
-			waiting.add(new Waiting(job, (id, outcome) -> {
+			waiting.add(new PendingPiece(job, (id, outcome) -> {
 			}));
 		}
 		List<String> ordered = new QueueOrder(SPEC, 1, 0).of(waiting)
@@ -56,7 +56,7 @@
 	/** Two seconds of work are late, in a pool of one worker with 14 pieces a second. */
 	@Test
 	void beyondASecondOfLateWorkTheLeastUrgentThatIsNotBegunIsTooMuch() {
-		List<Waiting> waiting = new ArrayList<>();
+		List<PendingPiece> waiting = new ArrayList<>();
 		for (int i = 0; i < 14; i++) {
 			waiting.add(late("urgent" + i, 1, List.of()));
 			waiting.add(late("other" + i, 2, List.of()));
@@ -71,13 +71,13 @@
 		assertEquals(new QueueOrder(SPEC, 3, 0).tooMuch(waiting), List.of(), "three workers have time for it");
 	}
 
-	private static Waiting late(String request, int rank, List<String> inputs) {
-		PieceJob job = PieceJob.of(new PieceId(request, 0, 0), "pool")
-			.from("k", inputs)
-			.needed(10, 9_000)
+	private static PendingPiece late(String request, int rank, List<String> inputs) {
+		PieceJob job = PieceJob.builder(new PieceId(request, 0, 0), "pool")
+			.source("k", inputs)
+			.dueBy(10, 9_000)
 			.priority(rank)
 			.build();
-		return new Waiting(job, (id, outcome) -> {
+		return new PendingPiece(job, (id, outcome) -> {
 		});
 	}
 
--- a/core/src/test/java/org/tallycart/core/pool/StagePlanTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/StagePlanTests.java
@@ -22,44 +22,44 @@
 	@Test
 	void stagesStartWhenTheirInputsAreMade() {
 		StagePlan plan = new StagePlan(STAGES, List.of(1, 1, 2, 1));
-		assertEquals(plan.start(), List.of(1), "the large result waits for the chain");
-		plan.made(1, 0, "m/1");
-		assertEquals(plan.start(), List.of(2));
+		assertEquals(plan.startReady(), List.of(1), "the large result waits for the chain");
+		plan.onCompleted(1, 0, "m/1");
+		assertEquals(plan.startReady(), List.of(2));
 		assertEquals(plan.inputs(2), List.of("m/1"));
-		plan.made(2, 1, "m/3");
-		assertEquals(plan.start(), List.of(), "one of two inputs is missing");
-		plan.made(2, 0, "m/2");
-		assertEquals(plan.start(), List.of(3, 0));
+		plan.onCompleted(2, 1, "m/3");
+		assertEquals(plan.startReady(), List.of(), "one of two inputs is missing");
+		plan.onCompleted(2, 0, "m/2");
+		assertEquals(plan.startReady(), List.of(3, 0));
 		assertEquals(plan.inputs(3), List.of("m/2", "m/3"), "in order of pieces, not of arrival");
-		assertFalse(plan.complete());
-		plan.made(3, 0, "m/4");
-		plan.made(0, 0, "m/0");
-		assertTrue(plan.complete());
+		assertFalse(plan.isComplete());
+		plan.onCompleted(3, 0, "m/4");
+		plan.onCompleted(0, 0, "m/0");
+		assertTrue(plan.isComplete());
 		assertEquals(plan.finalHandles(), List.of("m/0", "m/4"));
 	}
 
 	@Test
 	void theLongestChainTells() {
 		long[] stageMs = { 700, 100, 200, 300 };
-		assertEquals(new StagePlan(STAGES, List.of(1, 1, 1, 1)).longestMs((i) -> stageMs[i]), 700);
-		assertEquals(new StagePlan(STAGES, List.of(0, 1, 0, 1)).longestMs((i) -> stageMs[i]), 400);
-		assertEquals(new StagePlan(STAGES, List.of()).longestMs((i) -> stageMs[i]), 0);
+		assertEquals(new StagePlan(STAGES, List.of(1, 1, 1, 1)).criticalPathMs((i) -> stageMs[i]), 700);
+		assertEquals(new StagePlan(STAGES, List.of(0, 1, 0, 1)).criticalPathMs((i) -> stageMs[i]), 400);
+		assertEquals(new StagePlan(STAGES, List.of()).criticalPathMs((i) -> stageMs[i]), 0);
 	}
 
 	@Test
 	void stagesWithoutPiecesAreOmitted() {
 		StagePlan plan = new StagePlan(STAGES, List.of(0, 1, 1, 1));
-		assertEquals(plan.start(), List.of(1));
+		assertEquals(plan.startReady(), List.of(1));
 		StagePlan empty = new StagePlan(STAGES, List.of());
-		assertEquals(empty.start(), List.of());
-		assertTrue(empty.complete());
+		assertEquals(empty.startReady(), List.of());
+		assertTrue(empty.isComplete());
 		assertEquals(empty.finalHandles(), List.of());
 	}
 
 	@Test
 	void aLargeResultWithoutOtherStagesIsMadeAtOnce() {
-		assertEquals(new StagePlan(STAGES, List.of(2, 0, 0, 0)).start(), List.of(0));
-		assertEquals(new StagePlan(STAGES.subList(0, 1), List.of(1)).start(), List.of(0));
+		assertEquals(new StagePlan(STAGES, List.of(2, 0, 0, 0)).startReady(), List.of(0));
+		assertEquals(new StagePlan(STAGES.subList(0, 1), List.of(1)).startReady(), List.of(0));
 	}
 
 	@Test
@@ -70,59 +70,59 @@
 		assertEquals(plan.inputBytes(3), 6 * 60_000);
 		assertTrue(plan.hasReaders(2));
 		assertFalse(plan.hasReaders(0));
-		assertEquals(plan.stagesBehind(1), 2);
-		assertEquals(plan.stagesBehind(3), 0);
+		assertEquals(plan.stagesAfter(1), 2);
+		assertEquals(plan.stagesAfter(3), 0);
 	}
 
 	@Test
 	void resultsAreTakenBackWhenAllPiecesMadeFromThemHaveReadThem() {
 		StagePlan plan = new StagePlan(STAGES, List.of(0, 1, 1, 2));
-		plan.start();
-		plan.made(1, 0, "m/1");
-		plan.start();
-		plan.made(2, 0, "m/2");
-		plan.start();
-		plan.takeSpent();
-		plan.inputsRead(3, 0);
-		assertEquals(plan.takeSpent(), List.of(), "the other piece still has to read it");
-		plan.inputsRead(3, 1);
-		assertEquals(plan.takeSpent(), List.of(2));
-		assertFalse(plan.complete(), "the pieces are not made yet");
+		plan.startReady();
+		plan.onCompleted(1, 0, "m/1");
+		plan.startReady();
+		plan.onCompleted(2, 0, "m/2");
+		plan.startReady();
+		plan.takeReleasable();
+		plan.onInputsRead(3, 0);
+		assertEquals(plan.takeReleasable(), List.of(), "the other piece still has to read it");
+		plan.onInputsRead(3, 1);
+		assertEquals(plan.takeReleasable(), List.of(2));
+		assertFalse(plan.isComplete(), "the pieces are not made yet");
 		plan.reset();
-		plan.start();
-		plan.made(1, 0, "m/3");
-		plan.start();
-		plan.made(2, 0, "m/4");
-		assertEquals(plan.takeSpent(), List.of(1), "made again, so it has to be read again");
+		plan.startReady();
+		plan.onCompleted(1, 0, "m/3");
+		plan.startReady();
+		plan.onCompleted(2, 0, "m/4");
+		assertEquals(plan.takeReleasable(), List.of(1), "made again, so it has to be read again");
 	}
 
 	@Test
 	void resultsAreTakenBackOnceWhenNothingNeedsThem() {
 		StagePlan plan = new StagePlan(STAGES, List.of(1, 1, 1, 1));
-		plan.start();
-		plan.made(0, 0, "m/0");
-		plan.made(1, 0, "m/1");
-		assertEquals(plan.takeSpent(), List.of(), "the next stage still reads it");
-		plan.start();
-		plan.made(2, 0, "m/2");
-		assertEquals(plan.takeSpent(), List.of(1));
+		plan.startReady();
+		plan.onCompleted(0, 0, "m/0");
+		plan.onCompleted(1, 0, "m/1");
+		assertEquals(plan.takeReleasable(), List.of(), "the next stage still reads it");
+		plan.startReady();
+		plan.onCompleted(2, 0, "m/2");
+		assertEquals(plan.takeReleasable(), List.of(1));
 		assertEquals(plan.results(1), List.of("m/1"));
-		assertEquals(plan.takeSpent(), List.of());
-		plan.start();
-		plan.made(3, 0, "m/3");
-		assertEquals(plan.takeSpent(), List.of(2));
-		assertEquals(plan.takeRest(), List.of(0, 3));
-		assertEquals(plan.takeRest(), List.of(), "each once");
+		assertEquals(plan.takeReleasable(), List.of());
+		plan.startReady();
+		plan.onCompleted(3, 0, "m/3");
+		assertEquals(plan.takeReleasable(), List.of(2));
+		assertEquals(plan.takeUnreleased(), List.of(0, 3));
+		assertEquals(plan.takeUnreleased(), List.of(), "each once");
 	}
 
 	@Test
 	void aResetMakesEverythingAgain() {
 		StagePlan plan = new StagePlan(STAGES, List.of(1, 1, 1, 1));
-		plan.start();
-		plan.made(0, 0, "m/0");
-		plan.takeRest();
+		plan.startReady();
+		plan.onCompleted(0, 0, "m/0");
+		plan.takeUnreleased();
 		plan.reset();
-		assertEquals(plan.start(), List.of(1));
+		assertEquals(plan.startReady(), List.of(1));
 		assertEquals(plan.results(0), List.of());
 	}
 
--- a/core/src/test/java/org/tallycart/core/pool/model/PoolLoadTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/model/PoolLoadTests.java
@@ -41,8 +41,8 @@
 
 	private static final List<Double> CHAIN_PIECES = List.of(1.0, 6.0, 10.0);
 
-	private static PoolModel model(long seed, boolean early) {
-		return new PoolModel(seed, early).pool("first", FIRST, "d", "d", "d")
+	private static PoolSimulation model(long seed, boolean early) {
+		return new PoolSimulation(seed, early).pool("first", FIRST, "d", "d", "d")
 			.pool("second", SECOND, "d", "d", "d", "d")
 			.pool("third", THIRD, "d", "d", "d", "d");
 	}
@@ -88,7 +88,7 @@
 		double onTime = 0;
 		double piecesPerCall = 0;
 		for (long seed = 1; seed <= SEEDS; seed++) {
-			PoolModel model = new PoolModel(seed, true).pool("first", FIRST, "d", "d")
+			PoolSimulation model = new PoolSimulation(seed, true).pool("first", FIRST, "d", "d")
 				.pool("second", GROUPS_DO_NOT_DIVIDE, "d", "d", "d", "d", "d")
 				.pool("third", THIRD, "d", "d", "d")
 				.kind(kind);
@@ -102,7 +102,7 @@
 	private static double[] bothOnTime(RequestKind.Burst burst, int firstRank, int secondRank) {
 		double[] shares = new double[2];
 		for (long seed = 1; seed <= SEEDS; seed++) {
-			PoolModel model = model(seed, true)
+			PoolSimulation model = model(seed, true)
 				.kind(new RequestKind("a", 10, firstRank, 2_300, 6_000, 150, CHAIN, CHAIN_PIECES, burst))
 				.kind(new RequestKind("b", 10, secondRank, 2_500, 20_000, 150, CHAIN, CHAIN_PIECES, burst));
 			model.run(LENGTH_MS);
@@ -114,7 +114,7 @@
 
 	private static double onTime(RequestKind kind, boolean inputsGivenBackEarly) {
 		return LongStream.rangeClosed(1, SEEDS).mapToDouble((seed) -> {
-			PoolModel model = model(seed, inputsGivenBackEarly).kind(kind);
+			PoolSimulation model = model(seed, inputsGivenBackEarly).kind(kind);
 			model.run(LENGTH_MS);
 			return model.result(kind.name()).onTimeShare();
 		}).average().orElseThrow();
--- a/core/src/test/java/org/tallycart/core/pool/model/PoolModel.java
+++ b/core/src/test/java/org/tallycart/core/pool/model/PoolSimulation.java
@@ -29,7 +29,7 @@
  * <p>
  * Not thread-safe: belongs to one test.
  */
-final class PoolModel {
+final class PoolSimulation {
 
 	/** A message between two VMs, or to a worker, in milliseconds. */
 	private static final long MESSAGE_MS = 3;
@@ -49,7 +49,7 @@
 
 	private final List<RequestKind> kinds = new ArrayList<>();
 
-	private final Map<String, KindResult> results = new LinkedHashMap<>();
+	private final Map<String, RequestStats> results = new LinkedHashMap<>();
 
 	private final Random random;
 
@@ -65,19 +65,19 @@
 	 * @param inputsGivenBackEarly whether a request gives inputs back when they have been
 	 * read, and not when the pieces made from them are there
 	 */
-	PoolModel(long seed, boolean inputsGivenBackEarly) {
+	PoolSimulation(long seed, boolean inputsGivenBackEarly) {
 		this.random = new Random(seed);
 		this.inputsGivenBackEarly = inputsGivenBackEarly;
 	}
 
-	PoolModel pool(String name, PoolSpec spec, String... domains) {
+	PoolSimulation pool(String name, PoolSpec spec, String... domains) {
 		this.pools.put(name, new Pool(name, spec, domains));
 		return this;
 	}
 
-	PoolModel kind(RequestKind kind) {
+	PoolSimulation kind(RequestKind kind) {
 		this.kinds.add(kind);
-		this.results.put(kind.name(), new KindResult());
+		this.results.put(kind.name(), new RequestStats());
 		return this;
 	}
 
@@ -106,7 +106,7 @@
 			if (ms >= lengthMs) {
 				return;
 			}
-			ModelRequest request = new ModelRequest(this, kind, kind.name() + "-" + number, (long) ms,
+			SimulatedRequest request = new SimulatedRequest(this, kind, kind.name() + "-" + number, (long) ms,
 					kind.pieceCounts(this.random));
 			at((long) ms, request::start);
 			number++;
@@ -130,7 +130,7 @@
 		return this.inputsGivenBackEarly;
 	}
 
-	KindResult result(String kind) {
+	RequestStats result(String kind) {
 		return this.results.get(kind);
 	}
 
@@ -139,7 +139,7 @@
 	}
 
 	/** What became of the requests of a kind. */
-	static final class KindResult {
+	static final class RequestStats {
 
 		private int asked;
 
@@ -204,7 +204,8 @@
 			List<UpstreamEntry> entries = new ArrayList<>();
 			for (int i = 0; i < domains.length; i++) {
 				String id = name + "-" + i;
-				entries.add(UpstreamEntry.of(id, name).at(new Address("10.0.0.1", 1 + i), domains[i]).build());
+				entries
+					.add(UpstreamEntry.builder(id, name).location(new Address("10.0.0.1", 1 + i), domains[i]).build());
 				this.workers.put(id, new Worker(spec));
 			}
 			this.dispatcher.updateWorkers(entries, Set.of());
@@ -235,25 +236,25 @@
 		}
 
 		private void tick() {
-			this.dispatcher.tick(PoolModel.this.nowMs);
+			this.dispatcher.tick(PoolSimulation.this.nowMs);
 			pump();
 			after(TICK_MS, this::tick);
 		}
 
 		void pump() {
-			Optional<PoolCall> call = this.dispatcher.nextCall(PoolModel.this.nowMs);
+			Optional<PoolCall> call = this.dispatcher.nextCall(PoolSimulation.this.nowMs);
 			while (call.isPresent()) {
 				PoolCall made = call.get();
 				this.calls++;
 				this.pieces += made.jobs().size();
 				after(MESSAGE_MS, () -> this.workers.get(made.worker().id()).take(this, made));
-				call = this.dispatcher.nextCall(PoolModel.this.nowMs);
+				call = this.dispatcher.nextCall(PoolSimulation.this.nowMs);
 			}
 		}
 
 		private void onEnd(PoolCall call, List<PieceOutcome> outcomes) {
 			after(MESSAGE_MS, () -> {
-				release(this.dispatcher.onAnswer(call.number(), outcomes, PoolModel.this.nowMs));
+				release(this.dispatcher.onAnswer(call.number(), outcomes, PoolSimulation.this.nowMs));
 				pump();
 			});
 		}
@@ -286,7 +287,7 @@
 		}
 
 		private void take(Pool pool, PoolCall call) {
-			long turnMs = Math.max(PoolModel.this.nowMs, this.freeAtMs);
+			long turnMs = Math.max(PoolSimulation.this.nowMs, this.freeAtMs);
 			this.freeAtMs = turnMs + (long) (this.spec.expectedMs(call.jobs().size()) * this.pace);
 			at(turnMs + READ_MS, () -> begin(pool, call));
 		}
@@ -302,19 +303,20 @@
 		private PieceOutcome begin(PieceJob job) {
 			boolean there = job.inputs()
 				.stream()
-				.allMatch((input) -> PoolModel.this.pools.values().stream().anyMatch((pool) -> pool.exists(input)));
+				.allMatch(
+						(input) -> PoolSimulation.this.pools.values().stream().anyMatch((pool) -> pool.exists(input)));
 			if (!there) {
-				return PieceOutcome.notMade(PieceOutcome.Status.INPUT_GONE);
+				return PieceOutcome.notCompleted(PieceOutcome.Status.INPUT_GONE);
 			}
 			long taken = this.bytes.values().stream().mapToLong(Long::longValue).sum();
 			if (taken + job.resultBytes() > this.spec.roomBytes()) {
-				return PieceOutcome.notMade(PieceOutcome.Status.NO_ROOM);
+				return PieceOutcome.notCompleted(PieceOutcome.Status.NO_ROOM);
 			}
 			String handle = job.service() + "/" + job.id().requestId() + "/" + job.id().stage() + "/"
 					+ job.id().piece();
 			this.results.add(handle);
 			this.bytes.put(handle, job.resultBytes());
-			return PieceOutcome.made(handle);
+			return PieceOutcome.completed(handle);
 		}
 
 		private void drop(String handle) {
--- a/core/src/test/java/org/tallycart/core/pool/model/ModelRequest.java
+++ b/core/src/test/java/org/tallycart/core/pool/model/SimulatedRequest.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Set;
 
-import org.tallycart.core.pool.PieceAsker;
 import org.tallycart.core.pool.PieceId;
 import org.tallycart.core.pool.PieceJob;
+import org.tallycart.core.pool.PieceListener;
 import org.tallycart.core.pool.PieceOutcome;
 import org.tallycart.core.pool.StagePlan;
 import org.tallycart.core.serving.StageSpec;
@@ -17,14 +17,14 @@
  * <p>
  * Not thread-safe: belongs to one model.
  */
-final class ModelRequest implements PieceAsker {
+final class SimulatedRequest implements PieceListener {
 
 	/** What a stage usually takes, in milliseconds: a wait for a call, and the call. */
 	private static final long STAGE_MS = 400;
 
 	private static final long MESSAGE_MS = 3;
 
-	private final PoolModel model;
+	private final PoolSimulation model;
 
 	private final RequestKind kind;
 
@@ -38,7 +38,7 @@
 
 	private boolean ended;
 
-	ModelRequest(PoolModel model, RequestKind kind, String id, long arrivedMs, List<Integer> pieces) {
+	SimulatedRequest(PoolSimulation model, RequestKind kind, String id, long arrivedMs, List<Integer> pieces) {
 		this.model = model;
 		this.kind = kind;
 		this.id = id;
@@ -53,25 +53,25 @@
 	}
 
 	private void startStages() {
-		this.plan.start().forEach(this::ask);
-		if (this.plan.complete()) {
+		this.plan.startReady().forEach(this::ask);
+		if (this.plan.isComplete()) {
 			this.model.after(this.kind.engineMs(), this::answer);
 		}
 	}
 
 	private void ask(int stage) {
 		StageSpec spec = this.kind.stages().get(stage);
-		long behindMs = this.plan.stagesBehind(stage) * STAGE_MS + this.kind.engineMs();
+		long behindMs = this.plan.stagesAfter(stage) * STAGE_MS + this.kind.engineMs();
 		long inputBytes = this.plan.inputBytes(stage);
-		for (int piece = 0; piece < this.plan.pieces(stage); piece++) {
+		for (int piece = 0; piece < this.plan.pieceCount(stage); piece++) {
 			PieceId piecesId = new PieceId(this.id, stage, piece);
 			this.waiting.add(piecesId);
-			PieceJob job = PieceJob.of(piecesId, spec.service())
-				.from("k", this.plan.inputs(stage))
-				.needed(this.arrivedMs + this.kind.objectiveMs() - behindMs,
+			PieceJob job = PieceJob.builder(piecesId, spec.service())
+				.source("k", this.plan.inputs(stage))
+				.dueBy(this.arrivedMs + this.kind.objectiveMs() - behindMs,
 						this.arrivedMs + this.kind.deadlineMs() - behindMs)
 				.priority(this.kind.rank())
-				.wantedIn("d", Math.max(inputBytes, spec.resultBytes()))
+				.preferredDomain("d", Math.max(inputBytes, spec.resultBytes()))
 				.result(spec.resultBytes(), this.plan.hasReaders(stage))
 				.build();
 			this.model.after(MESSAGE_MS, () -> askIfWanted(job));
@@ -81,7 +81,7 @@
 
 	private void askIfWanted(PieceJob job) {
 		if (this.waiting.contains(job.id())) {
-			this.model.pool(job.service()).dispatcher().ask(job, this);
+			this.model.pool(job.service()).dispatcher().submit(job, this);
 		}
 	}
 
@@ -102,7 +102,7 @@
 			end();
 			return;
 		}
-		this.plan.made(piece.stage(), piece.piece(), outcome.handle());
+		this.plan.onCompleted(piece.stage(), piece.piece(), outcome.handle());
 		releaseSpent();
 		startStages();
 	}
@@ -112,7 +112,7 @@
 		if (this.model.inputsGivenBackEarly()) {
 			this.model.after(MESSAGE_MS, () -> {
 				if (this.waiting.contains(piece)) {
-					this.plan.inputsRead(piece.stage(), piece.piece());
+					this.plan.onInputsRead(piece.stage(), piece.piece());
 					releaseSpent();
 				}
 			});
@@ -120,7 +120,7 @@
 	}
 
 	private void releaseSpent() {
-		this.plan.takeSpent().forEach((stage) -> release(stage, this.plan.results(stage)));
+		this.plan.takeReleasable().forEach((stage) -> release(stage, this.plan.results(stage)));
 	}
 
 	private void release(int stage, List<String> handles) {
@@ -144,7 +144,7 @@
 			this.model.pool(this.kind.stages().get(piece.stage()).service()).dispatcher().withdraw(piece);
 		}
 		this.waiting.clear();
-		this.plan.takeRest().forEach((stage) -> release(stage, this.plan.results(stage)));
+		this.plan.takeUnreleased().forEach((stage) -> release(stage, this.plan.results(stage)));
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/replication/ReplicationTests.java
+++ b/core/src/test/java/org/tallycart/core/replication/ReplicationTests.java
@@ -4,7 +4,6 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-import org.tallycart.core.replication.VersionedRegister.Acceptance;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -18,12 +17,13 @@
 
 	@DataProvider
 	Object[][] offers() {
-		return new Object[][] { { 4, 1, Acceptance.REFUSED_OLD }, { 5, 5, Acceptance.SAME },
-				{ 5, 6, Acceptance.REFUSED_DIFFERENT }, { 6, 6, Acceptance.APPLIED } };
+		return new Object[][] { { 4, 1, VersionedRegister.OfferResult.REFUSED_OLD },
+				{ 5, 5, VersionedRegister.OfferResult.SAME }, { 5, 6, VersionedRegister.OfferResult.REFUSED_DIFFERENT },
+				{ 6, 6, VersionedRegister.OfferResult.APPLIED } };
 	}
 
 	@Test(dataProvider = "offers")
-	void aRegisterNeverGoesBack(long version, int value, Acceptance expected) {
+	void aRegisterNeverGoesBack(long version, int value, VersionedRegister.OfferResult expected) {
 		VersionedRegister register = VersionedRegister.create("config");
 		register.offer(5, new byte[] { 5 });
 		assertEquals(register.offer(version, new byte[] { (byte) value }), expected);
@@ -61,7 +61,7 @@
 		assertEquals(read.history().size(), Manifest.HISTORY_LENGTH);
 		assertEquals(read.find("c99").orElseThrow().version(), 100);
 		assertTrue(read.find("c0").isEmpty());
-		assertEquals(read.lastToTouch("policy p").orElseThrow().id(), "c99");
+		assertEquals(read.findLatestChange("policy p").orElseThrow().id(), "c99");
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/routing/RoutingTests.java
+++ b/core/src/test/java/org/tallycart/core/routing/RoutingTests.java
@@ -33,7 +33,7 @@
 
 	private static UpstreamTable table(int workers) {
 		UpstreamTable table = UpstreamTable.create("vm-1", "lac", 8);
-		table.adopt(List.of(service(workers)));
+		table.update(List.of(service(workers)));
 		return table;
 	}
 
@@ -42,7 +42,7 @@
 		UpstreamTable table = table(3);
 		assertTrue(table.markLeaving("u1"));
 		assertFalse(table.markLeaving("u1"));
-		table.adopt(List.of(service(3)));
+		table.update(List.of(service(3)));
 		List<String> left = table.candidates("encode", Set.of(), 0).stream().map((one) -> one.upstream().id()).toList();
 		assertEquals(left, List.of("u0", "u2"));
 	}
@@ -87,7 +87,7 @@
 			for (int worker = 0; worker < 4; worker++) {
 				table.onStart("u" + worker);
 				if (worker == 2) {
-					table.onTooSlow("encode", "u2", 1, 500, 1_000);
+					table.onTimeout("encode", "u2", 1, 500, 1_000);
 				}
 				else {
 					table.onSuccess("encode", "u" + worker, 1, 50, 1_000);
@@ -110,10 +110,10 @@
 	@Test
 	void aVmUsesAStableSubsetOfALargeService() {
 		UpstreamTable table = table(100);
-		List<Upstream> used = table.used();
+		List<Upstream> used = table.upstreams();
 		assertEquals(used.size(), 8);
-		table.adopt(List.of(service(101)));
-		long kept = table.used().stream().filter(used::contains).count();
+		table.update(List.of(service(101)));
+		long kept = table.upstreams().stream().filter(used::contains).count();
 		assertTrue(kept >= 7, "one more upstream moves at most one place: " + kept);
 	}
 
@@ -136,7 +136,8 @@
 		}
 		Random random = new Random(1);
 		for (int i = 0; i < 20; i++) {
-			assertEquals(LeastLoadBalancer.aged(1_000).choose(candidates, random::nextInt).upstream().id(), "u3");
+			assertEquals(LeastLoadBalancer.withAgeDiscount(1_000).choose(candidates, random::nextInt).upstream().id(),
+					"u3");
 		}
 	}
 
@@ -146,7 +147,7 @@
 		int extra = 0;
 		for (int i = 0; i < 10_000; i++) {
 			budget.onFirstAttempt();
-			extra += budget.tryTake() ? 1 : 0;
+			extra += budget.tryAcquire() ? 1 : 0;
 		}
 		assertTrue(extra <= 1_005, "extra attempts: " + extra);
 		assertTrue(extra >= 995, "extra attempts: " + extra);
@@ -196,10 +197,10 @@
 		for (int i = 0; i < 50; i++) {
 			queue.offer(work("flood" + i, "flood", 1, 0));
 		}
-		assertTrue(queue.aheadOf("quiet", 0) <= 1, "ahead: " + queue.aheadOf("quiet", 0));
-		assertEquals(queue.aheadOf("flood", 0), 50);
-		assertEquals(queue.aheadOf("quiet", -1), 50);
-		assertEquals(queue.aheadOf("flood", 1), 0);
+		assertTrue(queue.countAhead("quiet", 0) <= 1, "ahead: " + queue.countAhead("quiet", 0));
+		assertEquals(queue.countAhead("flood", 0), 50);
+		assertEquals(queue.countAhead("quiet", -1), 50);
+		assertEquals(queue.countAhead("flood", 1), 0);
 	}
 
 	@Test
--- a/core/src/test/java/org/tallycart/core/serving/ServingConfigTests.java
+++ b/core/src/test/java/org/tallycart/core/serving/ServingConfigTests.java
@@ -45,7 +45,7 @@
 		Route route = CONFIG.route("h", "/x").orElseThrow();
 		Map<String, Integer> counts = new HashMap<>();
 		for (int draw = -500; draw < 500; draw++) {
-			counts.merge(route.serviceFor(draw), 1, Integer::sum);
+			counts.merge(route.selectService(draw), 1, Integer::sum);
 		}
 		assertEquals(counts, Map.of("a", 900, "b", 100));
 	}
@@ -79,7 +79,7 @@
 	void callersLeaveAStreamThatDoesNotBegin(RequestKind kind, long objectiveMs, long gapMs, long patienceMs) {
 		Route route = new Route("r", "h", "/", kind, List.of(), 20_000, objectiveMs, gapMs, 0, 1, List.of(), false,
 				false);
-		assertEquals(route.patienceMs(), patienceMs);
+		assertEquals(route.firstEventTimeoutMs(), patienceMs);
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/serving/UpstreamEntryTests.java
+++ b/core/src/test/java/org/tallycart/core/serving/UpstreamEntryTests.java
@@ -14,28 +14,30 @@
 public class UpstreamEntryTests {
 
 	private static UpstreamEntry.Builder entry() {
-		return UpstreamEntry.of("i-1", "s").started(OptionalLong.of(1)).at(new Address("10.0.0.1", 1), "d");
+		return UpstreamEntry.builder("i-1", "s")
+			.startedMs(OptionalLong.of(1))
+			.location(new Address("10.0.0.1", 1), "d");
 	}
 
 	@DataProvider
 	static Object[][] changes() {
-		return new Object[][] { { entry(), false }, { entry().cold(900), true },
-				{ entry().started(OptionalLong.of(2)), true }, { entry().draining(true), true },
-				{ entry().slots(9), true }, { entry().at(new Address("10.0.0.2", 1), "d"), true } };
+		return new Object[][] { { entry(), false }, { entry().coldMs(900), true },
+				{ entry().startedMs(OptionalLong.of(2)), true }, { entry().draining(true), true },
+				{ entry().slots(9), true }, { entry().location(new Address("10.0.0.2", 1), "d"), true } };
 	}
 
 	@Test(dataProvider = "changes")
 	void anEntryOfAWarmUpstreamIsNewsIfItSaysAnythingElse(UpstreamEntry.Builder fresh, boolean news) {
-		assertEquals(fresh.build().newsAfter(entry().build()), news);
+		assertEquals(fresh.build().isChangedFrom(entry().build()), news);
 	}
 
 	/** Pattern: a failure domain of cold upstreams, whose entries change every second. */
 	@Test
 	void thatLessOfTheColdTimeIsLeftIsNoNews() {
-		UpstreamEntry known = entry().cold(2_400).build();
-		assertEquals(entry().cold(1_200).build().newsAfter(known), false);
-		assertEquals(entry().build().newsAfter(known), false);
-		assertEquals(entry().cold(1_200).draining(true).build().newsAfter(known), true);
+		UpstreamEntry known = entry().coldMs(2_400).build();
+		assertEquals(entry().coldMs(1_200).build().isChangedFrom(known), false);
+		assertEquals(entry().build().isChangedFrom(known), false);
+		assertEquals(entry().coldMs(1_200).draining(true).build().isChangedFrom(known), true);
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/upstream/ChooserTests.java
+++ b/core/src/test/java/org/tallycart/core/upstream/ChooserTests.java
@@ -33,11 +33,11 @@
 	void begin() {
 		this.engines.clear();
 		for (int i = 0; i < 8; i++) {
-			UpstreamEntry entry = UpstreamEntry.of("e" + i, "s")
-				.at(new Address("10.0.0.1", i), "d" + i % 4)
+			UpstreamEntry entry = UpstreamEntry.builder("e" + i, "s")
+				.location(new Address("10.0.0.1", i), "d" + i % 4)
 				.slots(128)
 				.build();
-			this.engines.add(new UpstreamState(entry, new StatedAbsences(), 0));
+			this.engines.add(new UpstreamState(entry, new UnavailabilityRegistry(), 0));
 		}
 	}
 
@@ -125,7 +125,7 @@
 	}
 
 	private UpstreamState plain() {
-		return PlainChooser.choose(this.engines, "d1", 0).orElseThrow().upstream();
+		return LeastLoadedChooser.choose(this.engines, "d1", 0).orElseThrow().upstream();
 	}
 
 	@Test
--- a/core/src/test/java/org/tallycart/core/upstream/ColdLimitTests.java
+++ b/core/src/test/java/org/tallycart/core/upstream/ColdStartLimiterTests.java
@@ -26,7 +26,7 @@
  * sheet: 86 VMs, 98 engines that bear 6.7 requests a second while cold for 3 s, and a
  * limit of one and a half times that and five in any second.
  */
-public class ColdLimitTests {
+public class ColdStartLimiterTests {
 
 	private static final int VMS = 86;
 
@@ -51,12 +51,12 @@
 
 	private void addEngines(int cold) {
 		for (int i = 0; i < ENGINES; i++) {
-			UpstreamEntry entry = UpstreamEntry.of("e" + i, "s")
-				.at(new Address("10.0.0.1", 1 + i), "d" + i % 4)
+			UpstreamEntry entry = UpstreamEntry.builder("e" + i, "s")
+				.location(new Address("10.0.0.1", 1 + i), "d" + i % 4)
 				.slots(24)
-				.cold((i < cold) ? 3_000 : 0)
+				.coldMs((i < cold) ? 3_000 : 0)
 				.build();
-			this.engines.add(new UpstreamState(entry, new StatedAbsences(), 0));
+			this.engines.add(new UpstreamState(entry, new UnavailabilityRegistry(), 0));
 		}
 	}
 
@@ -64,24 +64,24 @@
 		return IntStream.range(from, to).mapToObj((i) -> "vm-" + i).toList();
 	}
 
-	private static List<ColdLimit> limits(Collection<String> known, Collection<String> knownToOthers) {
-		List<ColdLimit> limits = new ArrayList<>();
+	private static List<ColdStartLimiter> limits(Collection<String> known, Collection<String> knownToOthers) {
+		List<ColdStartLimiter> limits = new ArrayList<>();
 		for (int i = 0; i < VMS; i++) {
 			Collection<String> view = (i % 2 == 0) ? known : knownToOthers;
-			limits.add(new ColdLimit("vm-" + i, () -> view, (service) -> RATE));
+			limits.add(new ColdStartLimiter("vm-" + i, () -> view, (service) -> RATE));
 		}
 		return limits;
 	}
 
 	// Plays three seconds; callers come to the first VMs only. Returns which share was
 	// sent.
-	private double play(List<ColdLimit> limits, int callersVms, int perSecond, int sessions) {
+	private double play(List<ColdStartLimiter> limits, int callersVms, int perSecond, int sessions) {
 		Random random = new Random(7);
 		int served = 0;
 		int all = perSecond * 3;
 		for (int i = 0; i < all; i++) {
 			long now = i * 1_000L / perSecond;
-			ColdLimit limit = limits.get(random.nextInt(callersVms));
+			ColdStartLimiter limit = limits.get(random.nextInt(callersVms));
 			Prompt prompt = new Prompt("m", 9_000,
 					List.of(new PromptPart("shared", 2_500), new PromptPart("s" + random.nextInt(sessions), 3_800)));
 			UpstreamState engine = EngineChooser.choose(prompt, limit.admit(this.engines, now), now)
@@ -146,7 +146,7 @@
 	@Test
 	void aVmThatKnowsNoOtherSendsNothingToAColdUpstream() {
 		addEngines(ENGINES);
-		ColdLimit alone = new ColdLimit("vm-1", List::of, (service) -> RATE);
+		ColdStartLimiter alone = new ColdStartLimiter("vm-1", List::of, (service) -> RATE);
 		assertTrue(alone.admit(this.engines, 0).isEmpty());
 		assertEquals(alone.admit(this.engines, 3_000).size(), ENGINES, "warm");
 	}
@@ -154,7 +154,7 @@
 	@Test
 	void aServiceWithoutALimitIsNotLimited() {
 		addEngines(ENGINES);
-		assertEquals(new ColdLimit("vm-1", List::of, (service) -> 0).admit(this.engines, 0).size(), ENGINES);
+		assertEquals(new ColdStartLimiter("vm-1", List::of, (service) -> 0).admit(this.engines, 0).size(), ENGINES);
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/upstream/StatedAbsencesTests.java
+++ b/core/src/test/java/org/tallycart/core/upstream/UnavailabilityRegistryTests.java
@@ -13,24 +13,24 @@
 /**
  * Tests for what upstreams have said of their leaving and of rest.
  */
-public class StatedAbsencesTests {
+public class UnavailabilityRegistryTests {
 
 	private static final long MINUTE_MS = 60_000;
 
-	private StatedAbsences absences = new StatedAbsences();
+	private UnavailabilityRegistry absences = new UnavailabilityRegistry();
 
 	@BeforeMethod
 	void begin() {
-		this.absences = new StatedAbsences();
+		this.absences = new UnavailabilityRegistry();
 	}
 
 	@Test
 	void whoLeavesNeverAcceptsRequestsAgain() {
 		assertEquals(this.absences.acceptsInMs("a", 0), 0);
-		assertTrue(this.absences.onLeaving("a", 0));
-		assertFalse(this.absences.onLeaving("a", 1), "no news");
-		this.absences.onRest("a", 5, 1);
-		assertEquals(this.absences.acceptsInMs("a", 100), StatedAbsences.NEVER);
+		assertTrue(this.absences.onDraining("a", 0));
+		assertFalse(this.absences.onDraining("a", 1), "no news");
+		this.absences.onBackoff("a", 5, 1);
+		assertEquals(this.absences.acceptsInMs("a", 100), UnavailabilityRegistry.NEVER);
 	}
 
 	@DataProvider
@@ -41,38 +41,38 @@
 	/** Pattern: a rest is asked for, and another one 100 ms later. */
 	@Test(dataProvider = "rests")
 	void ofTwoRestsTheOneThatEndsLaterHolds(long firstMs, long secondMs, long leftMs) {
-		this.absences.onRest("a", firstMs, 0);
-		this.absences.onRest("a", secondMs, 100);
+		this.absences.onBackoff("a", firstMs, 0);
+		this.absences.onBackoff("a", secondMs, 100);
 		assertEquals(this.absences.acceptsInMs("a", 100), leftMs);
 		assertEquals(this.absences.acceptsInMs("b", 100), 0);
 	}
 
 	@Test
 	void onlyTheBeginOfARestIsNews() {
-		assertTrue(this.absences.onRest("a", 1_000, 0));
-		assertFalse(this.absences.onRest("a", 1_000, 500));
-		assertEquals(this.absences.resting(1_499), 1);
-		assertEquals(this.absences.resting(1_500), 0);
-		assertTrue(this.absences.onRest("a", 1_000, 1_500));
-		assertFalse(this.absences.onRest("b", 0, 0), "asks for nothing");
+		assertTrue(this.absences.onBackoff("a", 1_000, 0));
+		assertFalse(this.absences.onBackoff("a", 1_000, 500));
+		assertEquals(this.absences.backoffCount(1_499), 1);
+		assertEquals(this.absences.backoffCount(1_500), 0);
+		assertTrue(this.absences.onBackoff("a", 1_000, 1_500));
+		assertFalse(this.absences.onBackoff("b", 0, 0), "asks for nothing");
 	}
 
 	/** Pattern: the list loses an upstream that leaves, and may show it again. */
 	@Test
 	void aLeavingUpstreamIsRememberedForMinutesAfterItWasListedLast() {
-		this.absences.onLeaving("a", 0);
+		this.absences.onDraining("a", 0);
 		this.absences.expire(Set.of("a")::contains, 20 * MINUTE_MS);
-		assertTrue(this.absences.leaves("a"), "still listed");
+		assertTrue(this.absences.isDraining("a"), "still listed");
 		this.absences.expire((incarnation) -> false, 29 * MINUTE_MS);
-		assertTrue(this.absences.leaves("a"));
+		assertTrue(this.absences.isDraining("a"));
 		this.absences.expire((incarnation) -> false, 31 * MINUTE_MS);
-		assertFalse(this.absences.leaves("a"));
+		assertFalse(this.absences.isDraining("a"));
 		assertTrue(this.absences.isEmpty());
 	}
 
 	@Test
 	void restsThatAreOverAreForgotten() {
-		this.absences.onRest("a", 1_000, 0);
+		this.absences.onBackoff("a", 1_000, 0);
 		this.absences.expire((incarnation) -> true, 999);
 		assertFalse(this.absences.isEmpty());
 		this.absences.expire((incarnation) -> true, 1_000);
--- a/core/src/test/java/org/tallycart/core/upstream/UpstreamDirectoryTests.java
+++ b/core/src/test/java/org/tallycart/core/upstream/UpstreamDirectoryTests.java
@@ -30,8 +30,8 @@
 	}
 
 	private static UpstreamEntry entry(String id, boolean draining) {
-		return UpstreamEntry.of(id, "s")
-			.at(new Address("10.0.0.1", id.charAt(0)), "d")
+		return UpstreamEntry.builder(id, "s")
+			.location(new Address("10.0.0.1", id.charAt(0)), "d")
 			.slots(4)
 			.draining(draining)
 			.build();
@@ -52,7 +52,7 @@
 
 	@Test
 	void anUnreachableUpstreamIsLeftOutForAWhile() {
-		this.directory.all("s")
+		this.directory.activeUpstreams("s")
 			.stream()
 			.filter((s) -> s.entry().id().equals("a"))
 			.findFirst()
@@ -64,7 +64,7 @@
 
 	@Test
 	void whereAllAreUnreachableAllAreTried() {
-		this.directory.all("s").forEach((state) -> state.onUnreachable(0));
+		this.directory.activeUpstreams("s").forEach((state) -> state.onUnreachable(0));
 		assertEquals(candidates(100), List.of("a", "b"));
 	}
 
@@ -74,9 +74,9 @@
 		this.directory.remove("a", 100);
 		this.directory.onStoreBack(1_000);
 		this.directory.replace(List.of(entry("b", false)), 1_000);
-		this.directory.tick(3_000);
+		this.directory.expireVanished(3_000);
 		assertEquals(candidates(3_000), List.of("a", "b"));
-		this.directory.tick(3_300);
+		this.directory.expireVanished(3_300);
 		assertEquals(candidates(3_300), List.of("b"), "still missing: gone");
 	}
 
@@ -85,9 +85,9 @@
 	void anUpstreamWhoseEntryLapsedInAnOutageIsFoundByItsAddress() {
 		this.directory.onStoreLost();
 		this.directory.remove("a", 100);
-		assertEquals(this.directory.at(entry("a", false).address()).orElseThrow().entry().id(), "a");
-		this.directory.put(UpstreamEntry.of("next", "s").at(entry("a", false).address(), "d").build(), 200);
-		assertEquals(this.directory.at(entry("a", false).address()).orElseThrow().entry().id(), "next");
+		assertEquals(this.directory.findByAddress(entry("a", false).address()).orElseThrow().entry().id(), "a");
+		this.directory.put(UpstreamEntry.builder("next", "s").location(entry("a", false).address(), "d").build(), 200);
+		assertEquals(this.directory.findByAddress(entry("a", false).address()).orElseThrow().entry().id(), "next");
 	}
 
 	@Test
@@ -96,7 +96,7 @@
 		this.directory.remove("a", 100);
 		this.directory.onStoreBack(1_000);
 		this.directory.put(entry("a", false), 1_000);
-		this.directory.tick(9_000);
+		this.directory.expireVanished(9_000);
 		assertEquals(candidates(9_000), List.of("a", "b"));
 	}
 
@@ -106,31 +106,31 @@
 		this.directory.onStoreLost();
 		this.directory.remove("a", 100);
 		assertEquals(candidates(100), List.of("b"));
-		assertTrue(this.directory.at(new Address("10.0.0.1", 'a')).isEmpty());
+		assertTrue(this.directory.findByAddress(new Address("10.0.0.1", 'a')).isEmpty());
 	}
 
 	@Test
 	void whatAnotherVmSaysOfAnOutageKeepsVanishedEntriesForThatTime() {
-		assertEquals(this.directory.untrustedMs(0), 0);
-		this.directory.distrustUntil(1_500);
-		assertEquals(this.directory.untrustedMs(1_000), 500);
+		assertEquals(this.directory.remainingGraceMs(0), 0);
+		this.directory.extendGraceUntil(1_500);
+		assertEquals(this.directory.remainingGraceMs(1_000), 500);
 		this.directory.remove("a", 1_000);
-		this.directory.tick(1_400);
+		this.directory.expireVanished(1_400);
 		assertEquals(candidates(1_400), List.of("a", "b"));
-		this.directory.tick(1_500);
+		this.directory.expireVanished(1_500);
 		assertEquals(candidates(1_500), List.of("b"));
 	}
 
 	private static UpstreamEntry started(long unixMs) {
-		return UpstreamEntry.of("a", "s")
-			.started(OptionalLong.of(unixMs))
-			.at(new Address("10.0.0.1", 'a'), "d")
+		return UpstreamEntry.builder("a", "s")
+			.startedMs(OptionalLong.of(unixMs))
+			.location(new Address("10.0.0.1", 'a'), "d")
 			.slots(4)
 			.build();
 	}
 
 	private UpstreamState state(String id) {
-		return this.directory.all("s")
+		return this.directory.activeUpstreams("s")
 			.stream()
 			.filter((state) -> state.entry().id().equals(id))
 			.findFirst()
@@ -142,7 +142,7 @@
 		this.directory.put(started(1_000), 10);
 		UpstreamState former = state("a");
 		former.onUnreachable(20);
-		this.directory.absences().onLeaving(former.entry().incarnation(), 20);
+		this.directory.unavailability().onDraining(former.entry().incarnation(), 20);
 		assertEquals(candidates(25), List.of("b"));
 		this.directory.put(started(2_000), 30);
 		assertNotSame(state("a"), former);
@@ -163,53 +163,54 @@
 	@Test
 	void anUpstreamWhoseEntryTurnedUnreadableIsNotUsedInAnOutageEither() {
 		this.directory.onStoreLost();
-		this.directory.discard("a");
+		this.directory.removeInvalid("a");
 		assertEquals(candidates(100), List.of("b"));
 		this.directory.remove("b", 200);
-		this.directory.discard("b");
+		this.directory.removeInvalid("b");
 		assertEquals(candidates(300), List.of(), "kept as vanished until then");
 	}
 
 	/** Pattern: a failure domain is emptied and taken back. */
 	@Test
 	void upstreamsOfAnEvacuatedFailureDomainGetNothingUntilItIsTakenBack() {
-		this.directory.put(UpstreamEntry.of("far", "s").at(new Address("10.0.0.2", 1), "other").build(), 0);
-		this.directory.evacuate(Set.of("d"));
+		this.directory.put(UpstreamEntry.builder("far", "s").location(new Address("10.0.0.2", 1), "other").build(), 0);
+		this.directory.setEvacuatedDomains(Set.of("d"));
 		assertEquals(candidates(0), List.of("far"));
-		this.directory.evacuate(Set.of("d", "other"));
+		this.directory.setEvacuatedDomains(Set.of("d", "other"));
 		assertEquals(candidates(0), List.of(), "not even where no other is left");
-		this.directory.evacuate(Set.of());
+		this.directory.setEvacuatedDomains(Set.of());
 		assertEquals(candidates(0), List.of("a", "b", "far"));
 	}
 
 	@Test
 	void nothingIsSentBeforeItIsKnownWhatIsEvacuated() {
 		this.directory.expectEvacuations();
-		assertFalse(this.directory.known());
+		assertFalse(this.directory.isLoaded());
 		assertEquals(candidates(0), List.of());
-		this.directory.evacuate(Set.of());
-		assertTrue(this.directory.known());
+		this.directory.setEvacuatedDomains(Set.of());
+		assertTrue(this.directory.isLoaded());
 		assertEquals(candidates(0), List.of("a", "b"));
 	}
 
 	@Test
 	void anUpstreamIsColdForAsLongAsItsEntrySaysAndMayTurnColdAgain() {
-		this.directory.put(UpstreamEntry.of("a", "s").cold(3_000).build(), 1_000);
+		this.directory.put(UpstreamEntry.builder("a", "s").coldMs(3_000).build(), 1_000);
 		assertTrue(state("a").cold(3_900));
-		this.directory.put(UpstreamEntry.of("a", "s").cold(3_000).build(), 3_500);
+		this.directory.put(UpstreamEntry.builder("a", "s").coldMs(3_000).build(), 3_500);
 		assertFalse(state("a").cold(4_100), "an entry that is read again is no news");
-		this.directory.put(UpstreamEntry.of("a", "s").cold(0).build(), 4_100);
-		this.directory.put(UpstreamEntry.of("a", "s").cold(2_500).build(), 5_000);
-		assertEquals(state("a").coldMs(5_500), 2_000);
+		this.directory.put(UpstreamEntry.builder("a", "s").coldMs(0).build(), 4_100);
+		this.directory.put(UpstreamEntry.builder("a", "s").coldMs(2_500).build(), 5_000);
+		assertEquals(state("a").remainingColdMs(5_500), 2_000);
 	}
 
 	/** Pattern: one that leaves ends, and another starts at its address. */
 	@Test
 	void theNextUpstreamAtAnAddressIsNotTheOneThatHasLeft() {
-		this.directory.absences().onLeaving("a", 10);
+		this.directory.unavailability().onDraining("a", 10);
 		assertEquals(candidates(20), List.of("b"));
 		this.directory.remove("a", 30);
-		this.directory.put(UpstreamEntry.of("c", "s").at(new Address("10.0.0.1", 'a'), "d").slots(4).build(), 40);
+		this.directory.put(UpstreamEntry.builder("c", "s").location(new Address("10.0.0.1", 'a'), "d").slots(4).build(),
+				40);
 		assertEquals(candidates(50), List.of("b", "c"));
 	}
 
@@ -225,7 +226,7 @@
 			this.directory.put(entry("a", true), 10);
 		}
 		else {
-			this.directory.absences().onLeaving("a", 10);
+			this.directory.unavailability().onDraining("a", 10);
 		}
 		this.directory.remove("a", 20);
 		this.directory.put(entry("a", false), 30);
@@ -234,7 +235,7 @@
 
 	@Test
 	void theRestingGetNothingUntilTheirRestIsOver() {
-		this.directory.absences().onRest("a", 1_000, 0);
+		this.directory.unavailability().onBackoff("a", 1_000, 0);
 		assertEquals(candidates(999), List.of("b"));
 		assertEquals(candidates(1_000), List.of("a", "b"));
 	}
@@ -242,10 +243,10 @@
 	/** Pattern: all rest, or cannot be reached: those that rest are not tried instead. */
 	@Test
 	void whereTheOthersCannotBeReachedTheRestingGetNothingAllTheSame() {
-		this.directory.absences().onRest("a", 1_000, 0);
+		this.directory.unavailability().onBackoff("a", 1_000, 0);
 		state("b").onUnreachable(0);
 		assertEquals(candidates(100), List.of("b"));
-		this.directory.absences().onRest("b", 400, 0);
+		this.directory.unavailability().onBackoff("b", 400, 0);
 		assertEquals(candidates(100), List.of());
 		assertEquals(this.directory.acceptsInMs("s", 100), 300);
 	}
@@ -253,10 +254,10 @@
 	@Test
 	void whereAllLeaveNoneWillAcceptRequests() {
 		assertEquals(this.directory.acceptsInMs("s", 0), 0);
-		this.directory.absences().onLeaving("a", 0);
+		this.directory.unavailability().onDraining("a", 0);
 		this.directory.put(entry("b", true), 0);
-		assertEquals(this.directory.acceptsInMs("s", 0), StatedAbsences.NEVER);
-		assertEquals(this.directory.acceptsInMs("none", 0), StatedAbsences.NEVER);
+		assertEquals(this.directory.acceptsInMs("s", 0), UnavailabilityRegistry.NEVER);
+		assertEquals(this.directory.acceptsInMs("none", 0), UnavailabilityRegistry.NEVER);
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/upstream/RetryWindowTests.java
+++ b/core/src/test/java/org/tallycart/core/upstream/WindowedRetryBudgetTests.java
@@ -12,41 +12,41 @@
 /**
  * Tests for the budget of repeats.
  */
-public class RetryWindowTests {
+public class WindowedRetryBudgetTests {
 
 	private static final long WINDOW_MS = 10_000;
 
 	@Test
 	void repeatsAreAShareOfArrivalsAndOfTheSlack() {
-		RetryWindow window = new RetryWindow(0.2, WINDOW_MS, 50);
+		WindowedRetryBudget window = new WindowedRetryBudget(0.2, WINDOW_MS, 50);
 		for (int i = 0; i < 100; i++) {
 			window.onArrival(i);
 		}
 		int granted = 0;
-		while (window.tryRepeat(5, 200)) {
+		while (window.tryAcquire(5, 200)) {
 			granted++;
 		}
 		assertEquals(granted, 24, "0.8 x (0.2 x 100 + 50 / 5)");
-		assertTrue(window.tryRepeat(5, 201 + WINDOW_MS), "the slack of the next window");
+		assertTrue(window.tryAcquire(5, 201 + WINDOW_MS), "the slack of the next window");
 	}
 
 	@Test
 	void allVmsTogetherStayWithinTheBudgetInEveryWindow() {
 		Random random = new Random(5);
 		int vms = 6;
-		List<RetryWindow> windows = new ArrayList<>();
+		List<WindowedRetryBudget> windows = new ArrayList<>();
 		for (int i = 0; i < vms; i++) {
-			windows.add(new RetryWindow(0.2, WINDOW_MS, 52));
+			windows.add(new WindowedRetryBudget(0.2, WINDOW_MS, 52));
 		}
 		List<Long> arrivals = new ArrayList<>();
 		List<Long> repeats = new ArrayList<>();
 		for (long now = 0; now < 60_000; now += 10) {
-			RetryWindow window = windows.get(random.nextInt(vms));
+			WindowedRetryBudget window = windows.get(random.nextInt(vms));
 			if (random.nextInt(3) == 0) {
 				window.onArrival(now);
 				arrivals.add(now);
 			}
-			if (random.nextInt(2) == 0 && window.tryRepeat(vms, now)) {
+			if (random.nextInt(2) == 0 && window.tryAcquire(vms, now)) {
 				repeats.add(now);
 			}
 		}
--- a/ctl/src/main/java/org/tallycart/ctl/ConfigStore.java
+++ b/ctl/src/main/java/org/tallycart/ctl/ConfigStore.java
@@ -9,14 +9,14 @@
 import java.util.TreeMap;
 
 import io.vavr.control.Either;
+import org.tallycart.core.ini.IniParser;
 import org.tallycart.core.ini.IniSection;
-import org.tallycart.core.ini.IniText;
 import org.tallycart.core.ini.Problem;
-import org.tallycart.core.replication.Change;
 import org.tallycart.core.replication.Digest;
 import org.tallycart.core.replication.Manifest;
+import org.tallycart.core.replication.ManifestChange;
+import org.tallycart.core.replication.ManifestParts;
 import org.tallycart.core.replication.MergeConflict;
-import org.tallycart.core.replication.PartName;
 import org.tallycart.core.replication.ThreeWayMerge;
 import org.tallycart.platform.ObjectStore;
 import org.tallycart.platform.PlatformError;
@@ -70,7 +70,7 @@
 				return Either.left(text.getLeft());
 			}
 			List<Problem> problems = new ArrayList<>();
-			for (IniSection section : IniText.read(part.getKey(), text.get(), problems)) {
+			for (IniSection section : IniParser.read(part.getKey(), text.get(), problems)) {
 				texts.put(section.name(), section.canonical());
 			}
 		}
@@ -98,7 +98,7 @@
 		if (version == head.manifest().version()) {
 			return sections(head.manifest().parts());
 		}
-		Optional<Change> change = head.manifest()
+		Optional<ManifestChange> change = head.manifest()
 			.history()
 			.stream()
 			.filter((known) -> known.version() == version)
@@ -167,7 +167,7 @@
 	}
 
 	private static String describe(MergeConflict conflict, Manifest manifest) {
-		String other = manifest.lastToTouch(conflict.section())
+		String other = manifest.findLatestChange(conflict.section())
 			.map((change) -> "change " + change.id() + " by " + change.author() + " made version " + change.version())
 			.orElse("an earlier change");
 		return "[" + conflict.section() + "] is changed here and by " + other;
@@ -179,7 +179,7 @@
 		if (before.isLeft()) {
 			return Optional.of(failed(before.getLeft()));
 		}
-		List<String> changed = ThreeWayMerge.changed(before.get(), texts);
+		List<String> changed = ThreeWayMerge.changedNames(before.get(), texts);
 		Either<PlatformError, SortedMap<String, String>> parts = writeParts(texts, head.manifest().parts());
 		if (parts.isLeft()) {
 			return Optional.of(failed(parts.getLeft()));
@@ -239,9 +239,10 @@
 	private Either<PlatformError, SortedMap<String, String>> writeParts(SortedMap<String, String> texts,
 			SortedMap<String, String> present) {
 		SortedMap<String, StringBuilder> contents = new TreeMap<>();
-		texts.forEach((name, text) -> contents.computeIfAbsent(PartName.of(name), (part) -> new StringBuilder())
-			.append(text)
-			.append('\n'));
+		texts
+			.forEach((name, text) -> contents.computeIfAbsent(ManifestParts.partOf(name), (part) -> new StringBuilder())
+				.append(text)
+				.append('\n'));
 		SortedMap<String, String> parts = new TreeMap<>();
 		for (Map.Entry<String, StringBuilder> content : contents.entrySet()) {
 			String text = content.getValue().toString();
--- a/ctl/src/main/java/org/tallycart/ctl/DeclarationDirectory.java
+++ b/ctl/src/main/java/org/tallycart/ctl/DeclarationDirectory.java
@@ -12,8 +12,8 @@
 import io.vavr.control.Either;
 import org.tallycart.core.declaration.DeclarationReader;
 import org.tallycart.core.declaration.Declarations;
+import org.tallycart.core.ini.IniParser;
 import org.tallycart.core.ini.IniSection;
-import org.tallycart.core.ini.IniText;
 import org.tallycart.core.ini.Problem;
 import org.tallycart.policy.CelPolicyCompiler;
 
@@ -44,13 +44,13 @@
 		List<IniSection> sections = new ArrayList<>();
 		try (Stream<Path> files = Files.walk(directory)) {
 			for (Path file : files.filter((path) -> path.toString().endsWith(SUFFIX)).sorted().toList()) {
-				sections.addAll(IniText.read(file.toString(), Files.readString(file), problems));
+				sections.addAll(IniParser.read(file.toString(), Files.readString(file), problems));
 			}
 		}
 		catch (IOException ex) {
 			problems.add(new Problem(directory.toString(), 0, 0, "cannot be read: " + ex, ""));
 		}
-		problems.addAll(IniText.repeated(sections));
+		problems.addAll(IniParser.findDuplicateSections(sections));
 		Either<List<Problem>, Declarations> declarations = DeclarationReader.read(sections, CelPolicyCompiler.create());
 		declarations.peekLeft(problems::addAll);
 		if (!problems.isEmpty()) {
@@ -69,7 +69,7 @@
 	static List<Problem> check(SortedMap<String, String> texts) {
 		List<Problem> problems = new ArrayList<>();
 		List<IniSection> sections = new ArrayList<>();
-		texts.forEach((name, text) -> sections.addAll(IniText.read("merged [" + name + "]", text, problems)));
+		texts.forEach((name, text) -> sections.addAll(IniParser.read("merged [" + name + "]", text, problems)));
 		DeclarationReader.read(sections, CelPolicyCompiler.create()).peekLeft(problems::addAll);
 		return problems;
 	}
--- a/ctl/src/main/java/org/tallycart/ctl/HistoryCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/HistoryCommand.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.vavr.control.Either;
-import org.tallycart.core.replication.Change;
+import org.tallycart.core.replication.ManifestChange;
 import org.tallycart.platform.PlatformError;
 import org.tallycart.runtime.process.ExitCode;
 import picocli.CommandLine.Command;
@@ -41,7 +41,7 @@
 			System.err.println(head.getLeft().message());
 			return ExitCode.FAILED;
 		}
-		List<Change> changes = head.get()
+		List<ManifestChange> changes = head.get()
 			.manifest()
 			.history()
 			.stream()
@@ -57,9 +57,9 @@
 		return (!this.change.isEmpty() && changes.isEmpty()) ? ExitCode.FAILED : ExitCode.OK;
 	}
 
-	private void print(List<Change> changes) {
+	private void print(List<ManifestChange> changes) {
 		ArrayNode array = new ObjectMapper().createArrayNode();
-		for (Change known : changes) {
+		for (ManifestChange known : changes) {
 			ObjectNode node = array.addObject()
 				.put("version", known.version())
 				.put("change", known.id())
--- a/ctl/src/main/java/org/tallycart/ctl/PlanCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/PlanCommand.java
@@ -65,7 +65,7 @@
 			merged.getLeft().forEach((conflict) -> System.out.println("conflict [" + conflict.section() + "]"));
 			return ExitCode.CONFLICT;
 		}
-		List<String> changed = ThreeWayMerge.changed(theirs, merged.get());
+		List<String> changed = ThreeWayMerge.changedNames(theirs, merged.get());
 		System.out
 			.println("version " + version + " -> " + (version + 1) + ": " + changed.size() + " declarations change");
 		for (String section : changed) {
--- a/ctl/src/main/java/org/tallycart/ctl/PolicyTestCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/PolicyTestCommand.java
@@ -12,8 +12,8 @@
 import org.tallycart.core.declaration.Declarations;
 import org.tallycart.core.declaration.PolicySource;
 import org.tallycart.core.ini.Address;
+import org.tallycart.core.ini.IniParser;
 import org.tallycart.core.ini.IniSection;
-import org.tallycart.core.ini.IniText;
 import org.tallycart.core.ini.Problem;
 import org.tallycart.core.policy.Policy;
 import org.tallycart.core.policy.RecordedDecision;
@@ -73,7 +73,7 @@
 
 	private static Declarations declarations(SortedMap<String, String> texts) {
 		List<IniSection> sections = new ArrayList<>();
-		texts.forEach((name, text) -> sections.addAll(IniText.read(name, text, new ArrayList<>())));
+		texts.forEach((name, text) -> sections.addAll(IniParser.read(name, text, new ArrayList<>())));
 		return DeclarationReader.read(sections, (section, source) -> List.of()).getOrElse(Declarations.EMPTY);
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/CallerHandler.java
+++ b/entry/src/main/java/org/tallycart/entry/CallerHandler.java
@@ -15,10 +15,10 @@
 import org.apache.hc.core5.http.io.entity.ByteArrayEntity;
 import org.apache.hc.core5.http.io.entity.EntityTemplate;
 import org.apache.hc.core5.http.protocol.HttpContext;
-import org.tallycart.core.outcome.Ending;
 import org.tallycart.core.outcome.InvariantViolation;
 import org.tallycart.core.outcome.Outcome;
 import org.tallycart.core.outcome.Reason;
+import org.tallycart.core.outcome.RequestResult;
 import org.tallycart.entry.caller.Answer;
 import org.tallycart.entry.caller.CallerFields;
 import org.tallycart.entry.caller.CallerRequest;
@@ -69,7 +69,8 @@
 		try {
 			Either<List<String>, CallerRequest> parsed = CallerRequestReader.read(request);
 			if (parsed.isLeft()) {
-				Ending ending = Ending.of(Outcome.NOT_RUN, Reason.BAD_REQUEST, String.join("; ", parsed.getLeft()));
+				RequestResult ending = RequestResult.of(Outcome.NOT_RUN, Reason.BAD_REQUEST,
+						String.join("; ", parsed.getLeft()));
 				answer(response, new Answer("", ending, "", 0, -1, 0, Map.of()));
 				return;
 			}
@@ -129,7 +130,7 @@
 	}
 
 	private static void answer(ClassicHttpResponse response, Answer answer) {
-		Ending ending = answer.ending();
+		RequestResult ending = answer.ending();
 		response.setCode(status(ending));
 		response.setHeader(CallerFields.REQUEST_ID, answer.requestId());
 		response.setHeader(CallerFields.OUTCOME, ending.outcome().name());
@@ -141,7 +142,7 @@
 		response.setEntity(new ByteArrayEntity(answer.json(true), ContentType.APPLICATION_JSON));
 	}
 
-	private static int status(Ending ending) {
+	private static int status(RequestResult ending) {
 		return switch (ending.outcome()) {
 			case COMPLETE -> OK;
 			case UNKNOWN -> SERVER_ERROR;
--- a/entry/src/main/java/org/tallycart/entry/Entry.java
+++ b/entry/src/main/java/org/tallycart/entry/Entry.java
@@ -151,7 +151,7 @@
 	}
 
 	private void adopt(EntryState state) {
-		this.table.adopt(state.declarations().services().values());
+		this.table.update(state.declarations().services().values());
 		state.leaving().forEach((upstream) -> {
 			if (this.table.markLeaving(upstream)) {
 				this.events.emit(EventCode.UPSTREAM_LEAVING, upstream + " by the steward");
--- a/entry/src/main/java/org/tallycart/entry/EntrySettings.java
+++ b/entry/src/main/java/org/tallycart/entry/EntrySettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import org.tallycart.core.claim.KeyWindow;
+import org.tallycart.core.claim.IdempotencyKeyWindow;
 import org.tallycart.core.ini.Address;
 import org.tallycart.core.ini.Problem;
 import org.tallycart.core.ini.SectionReader;
@@ -28,7 +28,7 @@
  * @since 0.1
  */
 record EntrySettings(VmSettings vm, Address listen, int maxConnections, Address statusListen, Address steward,
-		KeyWindow window, long pollMs, int subset, double overcommit, double retryShare, long drainLeadMs,
+		IdempotencyKeyWindow window, long pollMs, int subset, double overcommit, double retryShare, long drainLeadMs,
 		long drainMs) {
 
 	private static final long SECOND = 1_000;
@@ -48,12 +48,12 @@
 		EntrySettings settings = new EntrySettings(vm, callers.address("listen", "0.0.0.0:8080"),
 				(int) callers.number("max-connections", 2_000, 1, 20_000), status.address("listen", "127.0.0.1:7312"),
 				steward.address("address", "127.0.0.1:7301"),
-				new KeyWindow(claims.durationMs("retention", 10 * MINUTE, SECOND, 24 * HOUR),
+				new IdempotencyKeyWindow(claims.durationMs("retention", 10 * MINUTE, SECOND, 24 * HOUR),
 						claims.durationMs("clock-skew", SECOND, 1, MINUTE)),
 				routing.durationMs("poll-interval", 500, 50, MINUTE), (int) routing.number("subset", 32, 1, 10_000),
 				routing.decimal("overcommit", 1.5, 1, 100), routing.decimal("retry-share", 0.08, 0, 1),
 				drain.durationMs("lead", SECOND, 0, MINUTE), drain.durationMs("timeout", 30 * SECOND, 0, HOUR));
-		List.of(callers, status, steward, claims, routing, drain).forEach(SectionReader::finish);
+		List.of(callers, status, steward, claims, routing, drain).forEach(SectionReader::reportUnknownKeys);
 		return settings;
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/RequestRunner.java
+++ b/entry/src/main/java/org/tallycart/entry/RequestRunner.java
@@ -10,10 +10,10 @@
 import org.tallycart.core.claim.SubmissionId;
 import org.tallycart.core.declaration.Pipeline;
 import org.tallycart.core.declaration.Workspace;
-import org.tallycart.core.outcome.Ending;
+import org.tallycart.core.outcome.AttemptTracker;
 import org.tallycart.core.outcome.Outcome;
 import org.tallycart.core.outcome.Reason;
-import org.tallycart.core.outcome.RequestLedger;
+import org.tallycart.core.outcome.RequestResult;
 import org.tallycart.core.policy.Policy;
 import org.tallycart.core.policy.RecordedDecision;
 import org.tallycart.core.policy.RequestFacts;
@@ -79,7 +79,7 @@
 		if (pipeline == null || workspace == null) {
 			String what = (pipeline != null) ? "workspace " + request.workspace() : "pipeline " + request.pipeline();
 			boolean waits = known.configVersion() == 0;
-			Ending ending = new Ending(Outcome.NOT_RUN, waits ? Reason.NOT_READY : Reason.NOT_DECLARED,
+			RequestResult ending = new RequestResult(Outcome.NOT_RUN, waits ? Reason.NOT_READY : Reason.NOT_DECLARED,
 					what + " is not declared in version " + known.configVersion(), waits ? COME_BACK_MS : 0);
 			this.events.emit(EventCode.REQUEST_ARRIVED, request.id(), request.workspace() + " " + request.pipeline());
 			return new Run(request, nowMs, ending);
@@ -91,7 +91,7 @@
 		long priority = policy.priority(facts);
 		this.events.emit(EventCode.REQUEST_ARRIVED, request.id(), RecordedDecision.of(facts, priority).encode());
 		RequestContext context = new RequestContext(request, known, pipeline, workspace, policy, priority, nowMs,
-				nowMs + deadline, RequestLedger.open(request.id(), request.repeatable()), new CostMeter());
+				nowMs + deadline, AttemptTracker.create(request.id(), request.repeatable()), new CostMeter());
 		Run run = new Run(context);
 		run.prepare();
 		return run;
@@ -114,13 +114,13 @@
 
 		private Optional<byte[]> stored = Optional.empty();
 
-		private Optional<Ending> refusal;
+		private Optional<RequestResult> refusal;
 
 		private PipelineData data = PipelineData.begin("", 0, 0);
 
 		private long firstTokenMs = -1;
 
-		private Run(CallerRequest request, long arrivedMs, Ending refusal) {
+		private Run(CallerRequest request, long arrivedMs, RequestResult refusal) {
 			this.request = request;
 			this.submission = submissionId(request);
 			this.arrivedMs = arrivedMs;
@@ -140,12 +140,12 @@
 			return new SubmissionId(request.id(), Generators.timeBasedEpochGenerator().generate().toString()).text();
 		}
 
-		private Ending unlessRunBefore(Ending ending) {
+		private RequestResult unlessRunBefore(RequestResult ending) {
 			// Without a claim it is not known whether an earlier submission of the key
 			// ran.
 			boolean uncertain = !this.request.repeatable() && !this.request.firstSubmission() && !this.claimed;
 			Outcome outcome = (uncertain && ending.outcome() == Outcome.NOT_RUN) ? Outcome.UNKNOWN : ending.outcome();
-			return new Ending(outcome, ending.reason(), ending.detail(), ending.retryAfterMs());
+			return new RequestResult(outcome, ending.reason(), ending.detail(), ending.retryAfterMs());
 		}
 
 		private void prepare() {
@@ -157,7 +157,7 @@
 				this.refusal = admit(own);
 			}
 			if (this.refusal.isEmpty() && this.stored.isEmpty()) {
-				Either<Ending, PipelineData> made = RequestRunner.this.stages.runCalls(own);
+				Either<RequestResult, PipelineData> made = RequestRunner.this.stages.runCalls(own);
 				made.peek((result) -> this.data = result);
 				made.peekLeft((ending) -> this.refusal = Optional.of(ending));
 			}
@@ -171,18 +171,18 @@
 			this.refusal = Optional.ofNullable(decision.refusal());
 		}
 
-		private Optional<Ending> admit(RequestContext own) {
+		private Optional<RequestResult> admit(RequestContext own) {
 			if (!own.policy().admit(own.facts())) {
 				return Optional
-					.of(Ending.of(Outcome.NOT_RUN, Reason.POLICY_REFUSED, "policy " + own.pipeline().policy()));
+					.of(RequestResult.of(Outcome.NOT_RUN, Reason.POLICY_REFUSED, "policy " + own.pipeline().policy()));
 			}
 			this.entered = RequestRunner.this.limits.tryEnter(own.workspace(), own.state());
 			if (!this.entered) {
-				return Optional.of(new Ending(Outcome.NOT_RUN, Reason.WORKSPACE_LIMIT,
+				return Optional.of(new RequestResult(Outcome.NOT_RUN, Reason.WORKSPACE_LIMIT,
 						"workspace " + own.workspace().id() + " is over its limit",
 						RequestRunner.this.limits.retryAfterMs()));
 			}
-			Either<Ending, RequestContext> admitted = RequestRunner.this.stages.admit(own);
+			Either<RequestResult, RequestContext> admitted = RequestRunner.this.stages.admit(own);
 			return admitted.isLeft() ? Optional.of(admitted.getLeft()) : Optional.empty();
 		}
 
@@ -209,9 +209,9 @@
 		 * @return the answer
 		 */
 		Answer finish(TextSink sink) {
-			Either<Ending, String> output = this.refusal.<Either<Ending, String>>map(Either::left)
+			Either<RequestResult, String> output = this.refusal.<Either<RequestResult, String>>map(Either::left)
 				.orElseGet(() -> willStream() ? generate(sink) : Either.right(this.data.output()));
-			Ending ending = end(output.isRight() ? Ending.complete() : output.getLeft());
+			RequestResult ending = end(output.isRight() ? RequestResult.complete() : output.getLeft());
 			this.context.filter((own) -> this.entered)
 				.ifPresent((own) -> RequestRunner.this.limits.leave(own.workspace()));
 			boolean complete = ending.outcome() == Outcome.COMPLETE;
@@ -224,7 +224,7 @@
 			return answer;
 		}
 
-		private Either<Ending, String> generate(TextSink sink) {
+		private Either<RequestResult, String> generate(TextSink sink) {
 			RequestContext own = this.context.orElseThrow();
 			return RequestRunner.this.stages.generate(own, this.data, sink).map((made) -> {
 				this.firstTokenMs = made.firstTokenMs();
@@ -232,7 +232,7 @@
 			});
 		}
 
-		private Ending end(Ending wanted) {
+		private RequestResult end(RequestResult wanted) {
 			return this.context.map((own) -> own.ledger().end(wanted)).orElse(wanted);
 		}
 
@@ -249,7 +249,7 @@
 		}
 
 		private void record(Answer answer) {
-			Ending ending = answer.ending();
+			RequestResult ending = answer.ending();
 			RequestRunner.this.events.emit(EventCode.REQUEST_ENDED, this.request.id(),
 					ending.outcome() + " " + ending.reason() + " " + ending.detail());
 			MetricRegistry all = RequestRunner.this.metrics;
--- a/entry/src/main/java/org/tallycart/entry/WorkspaceLimits.java
+++ b/entry/src/main/java/org/tallycart/entry/WorkspaceLimits.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 import org.tallycart.core.declaration.Workspace;
-import org.tallycart.core.limit.ShareHolder;
+import org.tallycart.core.limit.ShareLimiter;
 import org.tallycart.core.limit.ShareRequest;
 import org.tallycart.entry.state.EntryState;
 import org.tallycart.entry.state.StewardLink;
@@ -24,7 +24,7 @@
 
 	private static final double IDLE_DEMAND = 0.01;
 
-	private final Map<String, ShareHolder> rates = new HashMap<>();
+	private final Map<String, ShareLimiter> rates = new HashMap<>();
 
 	private final Map<String, Integer> inFlight = new HashMap<>();
 
@@ -44,8 +44,8 @@
 			return false;
 		}
 		if (workspace.requestsPerSecond() > 0) {
-			ShareHolder holder = this.rates.computeIfAbsent(workspace.id(), (key) -> ShareHolder.create(nowMs));
-			if (!holder.tryEnter(workspace.requestsPerSecond(), state.activeVms(), nowMs)) {
+			ShareLimiter holder = this.rates.computeIfAbsent(workspace.id(), (key) -> ShareLimiter.create(nowMs));
+			if (!holder.tryAcquire(workspace.requestsPerSecond(), state.activeVms(), nowMs)) {
 				this.retryAfterMs = holder.retryAfterMs();
 				return false;
 			}
@@ -83,7 +83,7 @@
 		ShareReport.Builder report = ShareReport.newBuilder();
 		this.rates.entrySet().removeIf((entry) -> {
 			Workspace workspace = state.declarations().workspaces().get(entry.getKey());
-			ShareRequest ask = entry.getValue().ask(entry.getKey(), "", nowMs);
+			ShareRequest ask = entry.getValue().createRequest(entry.getKey(), "", nowMs);
 			if (workspace == null || ask.demandPerSecond() < IDLE_DEMAND) {
 				return true;
 			}
@@ -98,7 +98,7 @@
 	}
 
 	private synchronized void take(ShareGrant grant, long askedMs) {
-		ShareHolder holder = this.rates.get(grant.getWorkspace());
+		ShareLimiter holder = this.rates.get(grant.getWorkspace());
 		if (holder != null) {
 			holder.onGrant(grant.getRatePerSecond(), askedMs);
 		}
--- a/entry/src/main/java/org/tallycart/entry/caller/Answer.java
+++ b/entry/src/main/java/org/tallycart/entry/caller/Answer.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.tallycart.core.outcome.Ending;
+import org.tallycart.core.outcome.RequestResult;
 import org.tallycart.core.replication.Digest;
 
 /**
@@ -23,7 +23,7 @@
  * @param cost what its stages cost
  * @since 0.1
  */
-public record Answer(String requestId, Ending ending, String output, long configVersion, long firstTokenMs,
+public record Answer(String requestId, RequestResult ending, String output, long configVersion, long firstTokenMs,
 		long totalMs, Map<String, Double> cost) {
 
 	private static final ObjectMapper JSON = new ObjectMapper();
--- a/entry/src/main/java/org/tallycart/entry/claim/ClaimClient.java
+++ b/entry/src/main/java/org/tallycart/entry/claim/ClaimClient.java
@@ -12,13 +12,13 @@
 import io.vavr.control.Either;
 import org.jspecify.annotations.Nullable;
 import org.tallycart.core.claim.IdempotencyKey;
-import org.tallycart.core.claim.KeyWindow;
+import org.tallycart.core.claim.IdempotencyKeyWindow;
 import org.tallycart.core.claim.SlotOwner;
 import org.tallycart.core.claim.SubmissionId;
 import org.tallycart.core.ini.Address;
-import org.tallycart.core.outcome.Ending;
 import org.tallycart.core.outcome.Outcome;
 import org.tallycart.core.outcome.Reason;
+import org.tallycart.core.outcome.RequestResult;
 import org.tallycart.entry.state.EntryState;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.runtime.event.EventLog;
@@ -61,7 +61,7 @@
 
 	private final Supplier<EntryState> state;
 
-	private final KeyWindow window;
+	private final IdempotencyKeyWindow window;
 
 	private final EventLog events;
 
@@ -69,7 +69,7 @@
 
 	private final Map<Integer, Long> highestTerms = new ConcurrentHashMap<>();
 
-	private ClaimClient(String vm, WireTransport transport, Supplier<EntryState> state, KeyWindow window,
+	private ClaimClient(String vm, WireTransport transport, Supplier<EntryState> state, IdempotencyKeyWindow window,
 			EventLog events) {
 		this.vm = vm;
 		this.transport = transport;
@@ -87,8 +87,8 @@
 	 * @param events the process's events
 	 * @return the client
 	 */
-	public static ClaimClient create(String vm, WireTransport transport, Supplier<EntryState> state, KeyWindow window,
-			EventLog events) {
+	public static ClaimClient create(String vm, WireTransport transport, Supplier<EntryState> state,
+			IdempotencyKeyWindow window, EventLog events) {
 		return new ClaimClient(vm, transport, state, window, events);
 	}
 
@@ -102,7 +102,7 @@
 	 * @return what became of it
 	 */
 	public ClaimDecision claim(IdempotencyKey key, String attemptId, boolean firstSubmission, long deadlineMs) {
-		Optional<Ending> outside = this.window.check(key, Clocks.SYSTEM.wallMs());
+		Optional<RequestResult> outside = this.window.check(key, Clocks.SYSTEM.wallMs());
 		if (outside.isPresent()) {
 			return ClaimDecision.refused(truthful(outside.get(), firstSubmission));
 		}
@@ -113,7 +113,7 @@
 		while (decision == null) {
 			Either<WireError, ClaimAnswer> answer = ask(key, attemptId);
 			maybeRecorded |= answer.isLeft() && answer.getLeft() != WireError.NOT_CONNECTED;
-			this.events.emit(EventCode.KEY_CLAIMED, SubmissionId.requestOf(attemptId),
+			this.events.emit(EventCode.KEY_CLAIMED, SubmissionId.requestIdOf(attemptId),
 					key.text() + " " + answer.map((known) -> known.getStatus().name()).getOrElseGet(WireError::name));
 			held = answer.isRight() && answer.get().getStatus() == ClaimAnswer.Status.HELD;
 			decision = answer.isRight() ? decide(key, answer.get(), firstSubmission) : null;
@@ -132,10 +132,10 @@
 
 	private static ClaimDecision giveUp(boolean held, boolean firstSubmission) {
 		if (held) {
-			return ClaimDecision.refused(new Ending(Outcome.UNKNOWN, Reason.KEY_HELD,
+			return ClaimDecision.refused(new RequestResult(Outcome.UNKNOWN, Reason.KEY_HELD,
 					"another submission of this key is in progress or was cut off", COME_BACK_MS));
 		}
-		return ClaimDecision.refused(truthful(new Ending(Outcome.NOT_RUN, Reason.NO_SLOT_OWNER,
+		return ClaimDecision.refused(truthful(new RequestResult(Outcome.NOT_RUN, Reason.NO_SLOT_OWNER,
 				"the owner of this key's slot cannot be reached", COME_BACK_MS), firstSubmission));
 	}
 
@@ -143,17 +143,17 @@
 		return switch (answer.getStatus()) {
 			case GRANTED -> ClaimDecision.granted();
 			case FINISHED -> ClaimDecision.answered(answer.getResult().toByteArray());
-			case BEFORE_TAKEOVER -> ClaimDecision.refused(truthful(new Ending(Outcome.NOT_RUN,
+			case BEFORE_TAKEOVER -> ClaimDecision.refused(truthful(new RequestResult(Outcome.NOT_RUN,
 					Reason.KEY_BEFORE_TAKEOVER,
 					"the key is older than the take-over of its slot; a first submission may come back with a new key",
 					2 * this.window.skewMs()), firstSubmission));
-			case EXPIRED -> ClaimDecision.refused(
-					truthful(Ending.of(Outcome.NOT_RUN, Reason.KEY_EXPIRED, "the key is too old"), firstSubmission));
+			case EXPIRED -> ClaimDecision.refused(truthful(
+					RequestResult.of(Outcome.NOT_RUN, Reason.KEY_EXPIRED, "the key is too old"), firstSubmission));
 			default -> null;
 		};
 	}
 
-	private static Ending truthful(Ending ending, boolean firstSubmission) {
+	private static RequestResult truthful(RequestResult ending, boolean firstSubmission) {
 		// An earlier submission of the key may have run, unless the caller says there is
 		// none.
 		boolean certain = firstSubmission || ending.outcome() != Outcome.NOT_RUN
@@ -162,7 +162,7 @@
 		if (firstSubmission) {
 			outcome = Outcome.NOT_RUN;
 		}
-		return new Ending(outcome, ending.reason(), ending.detail(), ending.retryAfterMs());
+		return new RequestResult(outcome, ending.reason(), ending.detail(), ending.retryAfterMs());
 	}
 
 	private Either<WireError, ClaimAnswer> ask(IdempotencyKey key, String attemptId) {
--- a/entry/src/main/java/org/tallycart/entry/claim/ClaimDecision.java
+++ b/entry/src/main/java/org/tallycart/entry/claim/ClaimDecision.java
@@ -1,7 +1,7 @@
 package org.tallycart.entry.claim;
 
 import org.jspecify.annotations.Nullable;
-import org.tallycart.core.outcome.Ending;
+import org.tallycart.core.outcome.RequestResult;
 
 /**
  * What became of the claim of an idempotency key.
@@ -11,7 +11,7 @@
  * @param refusal how to end, where kind is REFUSED
  * @since 0.1
  */
-public record ClaimDecision(Kind kind, byte @Nullable [] storedAnswer, @Nullable Ending refusal) {
+public record ClaimDecision(Kind kind, byte @Nullable [] storedAnswer, @Nullable RequestResult refusal) {
 
 	/** Kinds of decision. */
 	public enum Kind {
@@ -33,7 +33,7 @@
 		return new ClaimDecision(Kind.ANSWERED, answer, null);
 	}
 
-	static ClaimDecision refused(Ending ending) {
+	static ClaimDecision refused(RequestResult ending) {
 		return new ClaimDecision(Kind.REFUSED, null, ending);
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/stage/CallStage.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/CallStage.java
@@ -18,9 +18,9 @@
 import org.tallycart.core.declaration.StageKind;
 import org.tallycart.core.declaration.Upstream;
 import org.tallycart.core.outcome.AttemptState;
-import org.tallycart.core.outcome.Ending;
 import org.tallycart.core.outcome.Outcome;
 import org.tallycart.core.outcome.Reason;
+import org.tallycart.core.outcome.RequestResult;
 import org.tallycart.http.HttpCall;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.runtime.process.Clocks;
@@ -72,7 +72,7 @@
 	 * Run the call.
 	 * @return the data with the stage's result, or how the request ends
 	 */
-	Either<Ending, PipelineData> run() {
+	Either<RequestResult, PipelineData> run() {
 		this.tools.budget().onFirstAttempt();
 		if (!launch()) {
 			return Either.left(noUpstream());
@@ -85,8 +85,8 @@
 			AttemptResult result = next(hedgeLater ? slowMs : remaining);
 			if (result == null && !hedgeLater) {
 				abandonAll(CostMeter.Use.ABANDONED);
-				return Either
-					.left(Ending.of(Outcome.FAILED, Reason.DEADLINE, this.service.id() + " did not answer in time"));
+				return Either.left(RequestResult.of(Outcome.FAILED, Reason.DEADLINE,
+						this.service.id() + " did not answer in time"));
 			}
 			if (result == null) {
 				mayHedge = launchExtra();
@@ -147,7 +147,7 @@
 	}
 
 	private boolean launchExtra() {
-		boolean allowed = this.launched < this.context.pipeline().maxAttempts() && this.tools.budget().tryTake();
+		boolean allowed = this.launched < this.context.pipeline().maxAttempts() && this.tools.budget().tryAcquire();
 		return allowed && launch();
 	}
 
@@ -224,17 +224,17 @@
 		this.running.removeIf((call) -> call.number() == number);
 	}
 
-	private Ending noUpstream() {
-		return new Ending(Outcome.NOT_RUN, Reason.NO_UPSTREAM, "no upstream of " + this.service.id() + " can be used",
-				StageRunner.COME_BACK_MS);
+	private RequestResult noUpstream() {
+		return new RequestResult(Outcome.NOT_RUN, Reason.NO_UPSTREAM,
+				"no upstream of " + this.service.id() + " can be used", StageRunner.COME_BACK_MS);
 	}
 
-	private Ending ending() {
+	private RequestResult ending() {
 		AttemptFailure failure = this.lastFailure;
 		if (failure == null) {
 			return noUpstream();
 		}
-		return new Ending(Outcome.NOT_RUN, failure.reason(), this.service.id() + ": " + failure.message(),
+		return new RequestResult(Outcome.NOT_RUN, failure.reason(), this.service.id() + ": " + failure.message(),
 				StageRunner.COME_BACK_MS);
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/stage/GenerateStage.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/GenerateStage.java
@@ -10,9 +10,9 @@
 import org.tallycart.core.declaration.Service;
 import org.tallycart.core.declaration.Upstream;
 import org.tallycart.core.outcome.AttemptState;
-import org.tallycart.core.outcome.Ending;
 import org.tallycart.core.outcome.Outcome;
 import org.tallycart.core.outcome.Reason;
+import org.tallycart.core.outcome.RequestResult;
 import org.tallycart.http.HttpCall;
 import org.tallycart.http.HttpStream;
 import org.tallycart.runtime.event.EventCode;
@@ -71,9 +71,9 @@
 	 * Run the generation.
 	 * @return the data with the whole text, or how the request ends
 	 */
-	Either<Ending, PipelineData> run() {
+	Either<RequestResult, PipelineData> run() {
 		this.tools.budget().onFirstAttempt();
-		Ending last = new Ending(Outcome.NOT_RUN, Reason.NO_UPSTREAM,
+		RequestResult last = new RequestResult(Outcome.NOT_RUN, Reason.NO_UPSTREAM,
 				"no upstream of " + this.service.id() + " can be used", StageRunner.COME_BACK_MS);
 		for (int attempts = 1;; attempts++) {
 			Optional<Upstream> upstream = this.tools.routing().choose(this.context, this.service, this.tried);
@@ -86,10 +86,10 @@
 				return Either.right(this.data.withOutput(this.text.toString()));
 			}
 			AttemptFailure failure = outcome.getLeft();
-			last = new Ending(Outcome.NOT_RUN, failure.reason(), this.service.id() + ": " + failure.message(),
+			last = new RequestResult(Outcome.NOT_RUN, failure.reason(), this.service.id() + ": " + failure.message(),
 					StageRunner.COME_BACK_MS);
 			boolean again = attempts < this.context.pipeline().maxAttempts() && mayRepeat(failure)
-					&& this.tools.budget().tryTake();
+					&& this.tools.budget().tryAcquire();
 			this.context.cost()
 				.add(this.service, again ? CostMeter.Use.RETRIED : CostMeter.Use.ABANDONED, this.tokensOfAttempt);
 			if (!again) {
--- a/entry/src/main/java/org/tallycart/entry/stage/LoadPoller.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/LoadPoller.java
@@ -71,7 +71,7 @@
 		if (!this.polling.compareAndSet(false, true)) {
 			return;
 		}
-		List<Upstream> upstreams = this.table.used();
+		List<Upstream> upstreams = this.table.upstreams();
 		AtomicInteger left = new AtomicInteger(upstreams.size());
 		if (upstreams.isEmpty()) {
 			this.polling.set(false);
--- a/entry/src/main/java/org/tallycart/entry/stage/RequestContext.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/RequestContext.java
@@ -2,7 +2,7 @@
 
 import org.tallycart.core.declaration.Pipeline;
 import org.tallycart.core.declaration.Workspace;
-import org.tallycart.core.outcome.RequestLedger;
+import org.tallycart.core.outcome.AttemptTracker;
 import org.tallycart.core.policy.Policy;
 import org.tallycart.core.policy.RequestFacts;
 import org.tallycart.entry.caller.CallerRequest;
@@ -27,7 +27,7 @@
  * @since 0.1
  */
 public record RequestContext(CallerRequest request, EntryState state, Pipeline pipeline, Workspace workspace,
-		Policy policy, long priority, long arrivedMs, long dueMs, RequestLedger ledger, CostMeter cost) {
+		Policy policy, long priority, long arrivedMs, long dueMs, AttemptTracker ledger, CostMeter cost) {
 
 	/**
 	 * Return the time left to the deadline.
--- a/entry/src/main/java/org/tallycart/entry/stage/Routing.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/Routing.java
@@ -48,9 +48,9 @@
 		this.table = table;
 		this.events = events;
 		this.onLeaving = onLeaving;
-		this.balancers.put(BalancerKind.LEAST_LOAD_AGED, LeastLoadBalancer.aged(REPORT_HALF_LIFE_MS));
-		this.balancers.put(BalancerKind.TWO_CHOICES_AGED, TwoChoicesBalancer.aged(REPORT_HALF_LIFE_MS));
-		this.balancers.put(BalancerKind.TWO_CHOICES, TwoChoicesBalancer.withoutAge());
+		this.balancers.put(BalancerKind.LEAST_LOAD_AGED, LeastLoadBalancer.withAgeDiscount(REPORT_HALF_LIFE_MS));
+		this.balancers.put(BalancerKind.TWO_CHOICES_AGED, TwoChoicesBalancer.withAgeDiscount(REPORT_HALF_LIFE_MS));
+		this.balancers.put(BalancerKind.TWO_CHOICES, TwoChoicesBalancer.withoutAgeDiscount());
 		this.balancers.put(BalancerKind.LEAST_IN_FLIGHT, new LeastInFlightBalancer());
 		this.balancers.put(BalancerKind.ROUND_ROBIN, new RoundRobinBalancer());
 	}
@@ -107,7 +107,7 @@
 	}
 
 	void tooSlow(Service service, Upstream upstream, double work, long millis) {
-		if (this.table.onTooSlow(service.id(), upstream.id(), work, millis, Clocks.SYSTEM.monotonicMs())) {
+		if (this.table.onTimeout(service.id(), upstream.id(), work, millis, Clocks.SYSTEM.monotonicMs())) {
 			this.events.emit(EventCode.UPSTREAM_EJECTED, upstream.id() + " is slower than its peers");
 		}
 	}
@@ -137,7 +137,7 @@
 	 * @return the limit, at least 1
 	 */
 	int limit(Service service, int activeVms, double overcommit) {
-		return (int) Math.max(Math.ceil(this.table.slots(service.id()) * overcommit / Math.max(activeVms, 1)), 1);
+		return (int) Math.max(Math.ceil(this.table.totalSlots(service.id()) * overcommit / Math.max(activeVms, 1)), 1);
 	}
 
 }
--- a/entry/src/main/java/org/tallycart/entry/stage/StageGate.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/StageGate.java
@@ -40,7 +40,7 @@
 	Either<Reason, Permit> acquire(StageQueue.Work<Waiter> work, int limit, long patienceMs) {
 		Waiter waiter = work.payload();
 		synchronized (this) {
-			this.queue.limit(limit);
+			this.queue.setLimit(limit);
 			Optional<StageQueue.Item<Waiter>> displaced = this.queue.offer(work);
 			displaced.ifPresent((item) -> item.payload().decided.complete(Decision.DISPLACED));
 			dispatch();
@@ -84,7 +84,7 @@
 	 * @return the load
 	 */
 	synchronized LoadFacts load(String workspace, long priority, long expectedMs, int limit) {
-		int ahead = this.queue.aheadOf(workspace, priority);
+		int ahead = this.queue.countAhead(workspace, priority);
 		boolean free = this.queue.inFlightCount() < limit && ahead == 0;
 		long waitMs = free ? 0 : (ahead + 1) * expectedMs / Math.max(limit, 1);
 		return new LoadFacts(this.service, this.queue.waitingCount(), this.queue.inFlightCount(), limit, waitMs);
--- a/entry/src/main/java/org/tallycart/entry/stage/StageRunner.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/StageRunner.java
@@ -9,10 +9,10 @@
 import io.vavr.control.Either;
 import org.tallycart.core.declaration.Service;
 import org.tallycart.core.declaration.StageKind;
-import org.tallycart.core.outcome.Ending;
 import org.tallycart.core.outcome.InvariantViolation;
 import org.tallycart.core.outcome.Outcome;
 import org.tallycart.core.outcome.Reason;
+import org.tallycart.core.outcome.RequestResult;
 import org.tallycart.core.policy.LoadFacts;
 import org.tallycart.core.routing.DeadlineSplit;
 import org.tallycart.core.routing.StageQueue;
@@ -58,7 +58,7 @@
 	 * @param context the request
 	 * @return how it ends if it cannot; otherwise right
 	 */
-	public Either<Ending, RequestContext> admit(RequestContext context) {
+	public Either<RequestResult, RequestContext> admit(RequestContext context) {
 		long expected = 0;
 		for (Service service : services(context)) {
 			long own = this.tools.times().expectedMs(service, context.request().maxTokens());
@@ -66,12 +66,12 @@
 					limit(context, service));
 			expected += own + load.waitMs();
 			if (context.policy().shed(context.facts(), load)) {
-				return Either.left(new Ending(Outcome.NOT_RUN, Reason.SHED, "shed at " + service.id(),
+				return Either.left(new RequestResult(Outcome.NOT_RUN, Reason.SHED, "shed at " + service.id(),
 						Math.max(load.waitMs(), SHORTEST_COME_BACK_MS)));
 			}
 		}
 		if (expected > context.remainingMs()) {
-			return Either.left(new Ending(Outcome.NOT_RUN, Reason.DEADLINE,
+			return Either.left(new RequestResult(Outcome.NOT_RUN, Reason.DEADLINE,
 					"the stages can be expected to take " + expected + " ms", COME_BACK_MS));
 		}
 		return Either.right(context);
@@ -82,8 +82,8 @@
 	 * @param context the request
 	 * @return what the stages made, or how the request ends
 	 */
-	public Either<Ending, PipelineData> runCalls(RequestContext context) {
-		Either<Ending, PipelineData> data = Either.right(PipelineData.begin(context.request().input(),
+	public Either<RequestResult, PipelineData> runCalls(RequestContext context) {
+		Either<RequestResult, PipelineData> data = Either.right(PipelineData.begin(context.request().input(),
 				context.request().maxTokens(), context.pipeline().topDocuments()));
 		List<Service> services = services(context);
 		for (int i = 0; i < services.size() && data.isRight(); i++) {
@@ -114,7 +114,7 @@
 	 * @param sink takes the text
 	 * @return the text and when it began, or how the request ends
 	 */
-	public Either<Ending, Generated> generate(RequestContext context, PipelineData data, TextSink sink) {
+	public Either<RequestResult, Generated> generate(RequestContext context, PipelineData data, TextSink sink) {
 		List<Service> services = services(context);
 		Service service = services.get(services.size() - 1);
 		GenerateStage stage = new GenerateStage(this.tools, context, service, data, sink);
@@ -122,8 +122,8 @@
 			.map((made) -> new Generated(made.output(), stage.firstTokenMs()));
 	}
 
-	private Either<Ending, PipelineData> gated(RequestContext context, List<Service> rest,
-			Supplier<Either<Ending, PipelineData>> call) {
+	private Either<RequestResult, PipelineData> gated(RequestContext context, List<Service> rest,
+			Supplier<Either<RequestResult, PipelineData>> call) {
 		Service service = rest.get(0);
 		List<Long> expected = new ArrayList<>();
 		rest.forEach((next) -> expected.add(this.tools.times().expectedMs(next, context.request().maxTokens())));
@@ -137,16 +137,18 @@
 		Either<Reason, StageGate.Permit> permit = gate(service).acquire(work, limit(context, service),
 				context.remainingMs() - needed);
 		if (permit.isLeft()) {
-			return Either.left((permit.getLeft() == Reason.DEADLINE) ? hopeless(service) : new Ending(Outcome.NOT_RUN,
-					permit.getLeft(), "the queue of " + service.id() + " is full", COME_BACK_MS));
+			return Either
+				.left((permit.getLeft() == Reason.DEADLINE) ? hopeless(service) : new RequestResult(Outcome.NOT_RUN,
+						permit.getLeft(), "the queue of " + service.id() + " is full", COME_BACK_MS));
 		}
 		try (StageGate.Permit held = permit.get()) {
 			return call.get();
 		}
 	}
 
-	private static Ending hopeless(Service service) {
-		return new Ending(Outcome.NOT_RUN, Reason.DEADLINE, "too little time is left at " + service.id(), COME_BACK_MS);
+	private static RequestResult hopeless(Service service) {
+		return new RequestResult(Outcome.NOT_RUN, Reason.DEADLINE, "too little time is left at " + service.id(),
+				COME_BACK_MS);
 	}
 
 	private StageGate gate(Service service) {
@@ -161,7 +163,7 @@
 		return context.pipeline()
 			.stages()
 			.stream()
-			.map((id) -> InvariantViolation.present(context.state().declarations().services().get(id),
+			.map((id) -> InvariantViolation.requirePresent(context.state().declarations().services().get(id),
 					"a pipeline names a service that is not declared: " + id))
 			.toList();
 	}
--- a/entry/src/main/java/org/tallycart/entry/state/StewardLink.java
+++ b/entry/src/main/java/org/tallycart/entry/state/StewardLink.java
@@ -18,8 +18,8 @@
 import org.tallycart.core.declaration.Declarations;
 import org.tallycart.core.declaration.PolicySource;
 import org.tallycart.core.ini.Address;
+import org.tallycart.core.ini.IniParser;
 import org.tallycart.core.ini.IniSection;
-import org.tallycart.core.ini.IniText;
 import org.tallycart.core.ini.Problem;
 import org.tallycart.core.membership.VmList;
 import org.tallycart.core.policy.Policy;
@@ -182,7 +182,7 @@
 			if (text == null) {
 				return before;
 			}
-			sections.addAll(IniText.read(part.getName(), text, problems));
+			sections.addAll(IniParser.read(part.getName(), text, problems));
 		}
 		this.parts.keySet().retainAll(update.getPartRefsList().stream().map(PartRef::getDigest).toList());
 		Either<List<Problem>, Declarations> read = problems.isEmpty()
--- a/http/src/main/java/org/tallycart/http/event/CallerConnection.java
+++ b/http/src/main/java/org/tallycart/http/event/CallerConnection.java
@@ -20,7 +20,7 @@
 import org.apache.hc.core5.http.message.BasicHttpResponse;
 import org.jspecify.annotations.Nullable;
 import org.tallycart.core.outcome.InvariantViolation;
-import org.tallycart.core.outcome.UnexpectedError;
+import org.tallycart.core.outcome.UncaughtErrorReporter;
 
 /**
  * A caller's connection: reads requests one after the other, each whole, and writes their
@@ -97,7 +97,7 @@
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-		UnexpectedError.report(cause);
+		UncaughtErrorReporter.report(cause);
 		context.close();
 	}
 
@@ -256,7 +256,7 @@
 	}
 
 	private ChannelHandlerContext channel() {
-		return InvariantViolation.present(this.context, "a connection without a channel");
+		return InvariantViolation.requirePresent(this.context, "a connection without a channel");
 	}
 
 	@Override
--- a/http/src/main/java/org/tallycart/http/event/UpstreamConnection.java
+++ b/http/src/main/java/org/tallycart/http/event/UpstreamConnection.java
@@ -14,7 +14,7 @@
 import org.apache.hc.core5.http.impl.nio.DefaultHttpResponseParser;
 import org.jspecify.annotations.Nullable;
 import org.tallycart.core.outcome.InvariantViolation;
-import org.tallycart.core.outcome.UnexpectedError;
+import org.tallycart.core.outcome.UncaughtErrorReporter;
 
 /**
  * A connection to an upstream, which carries one call at a time.
@@ -117,7 +117,7 @@
 
 	@Override
 	public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-		UnexpectedError.report(cause);
+		UncaughtErrorReporter.report(cause);
 		fail(CallFailure.Kind.CLOSED, "connection failed: " + cause.getMessage());
 		context.close();
 	}
@@ -199,7 +199,7 @@
 	}
 
 	private ChannelHandlerContext channel() {
-		return InvariantViolation.present(this.context, "a connection without a channel");
+		return InvariantViolation.requirePresent(this.context, "a connection without a channel");
 	}
 
 }
--- a/load/src/main/java/org/tallycart/load/Scenario.java
+++ b/load/src/main/java/org/tallycart/load/Scenario.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 import io.vavr.control.Either;
+import org.tallycart.core.ini.IniParser;
 import org.tallycart.core.ini.IniSection;
-import org.tallycart.core.ini.IniText;
 import org.tallycart.core.ini.Problem;
 import org.tallycart.core.ini.SectionReader;
 
@@ -39,7 +39,7 @@
 		List<Problem> problems = new ArrayList<>();
 		List<Kind> mix = new ArrayList<>();
 		Scenario scenario = new Scenario(10, 10_000, 1, 0, 0, 1, 3, mix);
-		for (IniSection section : IniText.read(file, text, problems)) {
+		for (IniSection section : IniParser.read(file, text, problems)) {
 			SectionReader reader = SectionReader.of(section, problems);
 			if (section.kind().equals("request")) {
 				mix.add(kind(section.id(), reader));
@@ -52,7 +52,7 @@
 						"[load] or [request NAME]"));
 				continue;
 			}
-			reader.finish();
+			reader.reportUnknownKeys();
 		}
 		if (mix.isEmpty()) {
 			problems.add(new Problem(file, 0, 0, "no kind of request", "add a section [request NAME]"));
--- a/node/src/main/java/org/tallycart/node/Loop.java
+++ b/node/src/main/java/org/tallycart/node/EventLoop.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-public final class Loop {
+public final class EventLoop {
 
 	private static final long NANOS_IN_MS = 1_000_000;
 
@@ -29,8 +29,8 @@
 	 * @param executor the loop, of one thread
 	 * @param guard takes what a task throws: a repeated task that fails runs again
 	 */
-	public Loop(ScheduledExecutorService executor, Guard guard) {
-		this(executor, guard, Loop::steadyMs);
+	public EventLoop(ScheduledExecutorService executor, Guard guard) {
+		this(executor, guard, EventLoop::steadyMs);
 	}
 
 	/**
@@ -39,7 +39,7 @@
 	 * @param guard takes what a task throws: a repeated task that fails runs again
 	 * @param clock the steady clock on which the loop runs, in milliseconds
 	 */
-	public Loop(ScheduledExecutorService executor, Guard guard, LongSupplier clock) {
+	public EventLoop(ScheduledExecutorService executor, Guard guard, LongSupplier clock) {
 		this.executor = executor;
 		this.guard = guard;
 		this.clock = clock;
@@ -67,7 +67,7 @@
 	 * @param task the task
 	 * @return cancels it
 	 */
-	public ScheduledFuture<?> after(long delayMs, Runnable task) {
+	public ScheduledFuture<?> schedule(long delayMs, Runnable task) {
 		return this.executor.schedule(guarded(task), Math.max(delayMs, 0), TimeUnit.MILLISECONDS);
 	}
 
@@ -76,7 +76,7 @@
 	 * @param periodMs the pause between two runs, in milliseconds
 	 * @param task the task
 	 */
-	public void every(long periodMs, Runnable task) {
+	public void scheduleWithFixedDelay(long periodMs, Runnable task) {
 		this.executor.scheduleWithFixedDelay(guarded(task), periodMs, periodMs, TimeUnit.MILLISECONDS);
 	}
 
@@ -84,7 +84,7 @@
 	 * Run a task after what the loop does now.
 	 * @param task the task
 	 */
-	public void later(Runnable task) {
+	public void execute(Runnable task) {
 		this.executor.execute(guarded(task));
 	}
 
--- a/node/src/main/java/org/tallycart/node/Node.java
+++ b/node/src/main/java/org/tallycart/node/Node.java
@@ -11,36 +11,36 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.vavr.control.Either;
 import org.tallycart.core.crash.Quarantine;
-import org.tallycart.core.fleet.Duty;
+import org.tallycart.core.fleet.LeaderRole;
 import org.tallycart.core.ini.Address;
 import org.tallycart.core.serving.NodeSettings;
 import org.tallycart.core.serving.ServiceSpec;
 import org.tallycart.core.serving.ServingConfig;
 import org.tallycart.core.time.HybridClock;
-import org.tallycart.core.upstream.ColdLimit;
+import org.tallycart.core.upstream.ColdStartLimiter;
 import org.tallycart.core.upstream.UpstreamDirectory;
 import org.tallycart.http.event.HttpClient;
 import org.tallycart.http.event.HttpServer;
-import org.tallycart.node.crash.CrashNews;
-import org.tallycart.node.crash.CrashWatch;
+import org.tallycart.node.crash.CrashReportCoordinator;
+import org.tallycart.node.crash.UpstreamCrashDetector;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.node.log.NodeLogging;
-import org.tallycart.node.metrics.MetricsPage;
+import org.tallycart.node.metrics.MetricsHandler;
 import org.tallycart.node.metrics.NodeMetrics;
-import org.tallycart.node.peer.NewsSpread;
+import org.tallycart.node.peer.NoticeDistributor;
 import org.tallycart.node.peer.PeerMesh;
-import org.tallycart.node.peer.PeerMessages;
-import org.tallycart.node.piece.HandleReturns;
+import org.tallycart.node.peer.PeerMessageHandler;
 import org.tallycart.node.piece.PieceService;
-import org.tallycart.node.piece.PoolParts;
+import org.tallycart.node.piece.PoolContext;
+import org.tallycart.node.piece.ResultReleaser;
 import org.tallycart.node.request.CallerHandler;
 import org.tallycart.node.request.RetryBudgets;
-import org.tallycart.node.request.Serving;
+import org.tallycart.node.request.ServingContext;
 import org.tallycart.node.statement.PermitService;
 import org.tallycart.node.statement.UpstreamStatements;
-import org.tallycart.node.store.ConfigInForce;
-import org.tallycart.node.store.Known;
-import org.tallycart.node.store.StoreLink;
+import org.tallycart.node.store.ActiveConfig;
+import org.tallycart.node.store.ReplicatedState;
+import org.tallycart.node.store.StoreReplicator;
 import org.tallycart.platform.store.ObjectClient;
 import org.tallycart.platform.store.QuarantineRecords;
 import org.tallycart.runtime.event.EventCode;
@@ -78,43 +78,43 @@
 
 	private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-	private final NodeLog log = new NodeLog(Loop::steadyMs);
+	private final NodeLog log = new NodeLog(EventLoop::steadyMs);
 
-	private final Loop loop = new Loop(this.group.next(), Guard.install(this::onFailure));
+	private final EventLoop loop = new EventLoop(this.group.next(), Guard.install(this::onFailure));
 
 	private final CountDownLatch stopped = new CountDownLatch(1);
 
 	private final NodeMetrics metrics = new NodeMetrics();
 
-	private final ConfigInForce config = new ConfigInForce(this.log);
+	private final ActiveConfig config = new ActiveConfig(this.log);
 
 	private final UpstreamDirectory directory = new UpstreamDirectory();
 
-	private final Readiness readiness = new Readiness(this.config, this.directory, this.log);
+	private final ReadinessHandler readiness = new ReadinessHandler(this.config, this.directory, this.log);
 
 	private final HttpClient http = HttpClient.create(this.group, this.loop::nowMs);
 
 	private final Quarantine quarantine = new Quarantine();
 
-	private final NewsSpread statementSpread;
+	private final NoticeDistributor statementSpread;
 
 	private final UpstreamStatements statements;
 
 	private final PermitService permits;
 
-	private final NewsSpread crashSpread;
+	private final NoticeDistributor crashSpread;
 
-	private final CrashNews crashNews;
+	private final CrashReportCoordinator crashNews;
 
 	private final PieceService pieces;
 
 	private final PeerMesh mesh;
 
-	private final StoreLink store;
+	private final StoreReplicator store;
 
 	private final RetryBudgets budgets;
 
-	private final ColdLimit cold;
+	private final ColdStartLimiter cold;
 
 	private final CallerHandler callerHandler;
 
@@ -133,27 +133,30 @@
 		this.transport = WireTransport.create(identity, this.group);
 		ObjectClient objects = new ObjectClient(this.http, this.loop.executor(), settings.store(),
 				this.metrics::onStoreCall);
-		Known known = new Known(this.config, this.directory, this.quarantine, this.metrics);
-		this.store = new StoreLink(settings, objects, this.loop, this.log, known, this::onChange, this::wantDuties);
-		this.crashSpread = new NewsSpread(settings.vm(), this.store);
-		this.crashNews = new CrashNews(this.quarantine, this.loop, this.log, new QuarantineRecords(objects),
-				this.crashSpread);
-		CrashWatch crashes = new CrashWatch(this.http, this.loop, this.log, this.metrics, this.crashNews);
-		this.statementSpread = new NewsSpread(settings.vm(), this.store);
+		ReplicatedState known = new ReplicatedState(this.config, this.directory, this.quarantine, this.metrics);
+		this.store = new StoreReplicator(settings, objects, this.loop, this.log, known, this::onChange,
+				this::wantDuties);
+		this.crashSpread = new NoticeDistributor(settings.vm(), this.store);
+		this.crashNews = new CrashReportCoordinator(this.quarantine, this.loop, this.log,
+				new QuarantineRecords(objects), this.crashSpread);
+		UpstreamCrashDetector crashes = new UpstreamCrashDetector(this.http, this.loop, this.log, this.metrics,
+				this.crashNews);
+		this.statementSpread = new NoticeDistributor(settings.vm(), this.store);
 		this.statements = new UpstreamStatements(this.loop, () -> identity.clock().tick(Clocks.SYSTEM.wallMs()),
 				this.log, this.metrics, this.directory, this.statementSpread, this::wantDuties);
 		this.permits = new PermitService(settings.vm(), this.statements, this.loop, this.metrics);
-		HandleReturns returns = new HandleReturns(this.http, this.loop, this.directory);
-		PoolParts parts = new PoolParts(this.http, this.loop, this.log, returns, crashes, this.statements, this.permits,
-				this.metrics);
+		ResultReleaser returns = new ResultReleaser(this.http, this.loop, this.directory);
+		PoolContext parts = new PoolContext(this.http, this.loop, this.log, returns, crashes, this.statements,
+				this.permits, this.metrics);
 		this.pieces = new PieceService(settings.vm(), parts, this.config, this.directory);
 		this.mesh = new PeerMesh(settings.vm(), this.transport, this.loop, this.log,
-				PeerMessages.all(List.of(this.pieces, this.crashNews, this.statements, this.permits)), this.store);
+				PeerMessageHandler.composite(List.of(this.pieces, this.crashNews, this.statements, this.permits)),
+				this.store);
 		this.budgets = new RetryBudgets(settings.bounds(), this.loop, this::vmsSharingBudgets);
-		this.cold = new ColdLimit(settings.vm(), this.mesh::vms, this::coldPerSecond);
-		Serving serving = new Serving(settings.failureDomain(), this.loop, this.log, this.http, this.directory,
-				this.cold, this.statements, this.permits, this.pieces, this.budgets, crashes, this.quarantine,
-				this.metrics);
+		this.cold = new ColdStartLimiter(settings.vm(), this.mesh::vms, this::coldPerSecond);
+		ServingContext serving = new ServingContext(settings.failureDomain(), this.loop, this.log, this.http,
+				this.directory, this.cold, this.statements, this.permits, this.pieces, this.budgets, crashes,
+				this.quarantine, this.metrics);
 		this.callerHandler = new CallerHandler(serving, this.config);
 	}
 
@@ -166,7 +169,7 @@
 	static Either<String, Node> start(NodeSettings settings, int metricsPort) {
 		Node node = new Node(settings, metricsPort);
 		return node.listen().map((listeners) -> {
-			node.loop.later(() -> node.begin(listeners));
+			node.loop.execute(() -> node.begin(listeners));
 			return node;
 		});
 	}
@@ -181,7 +184,7 @@
 
 	// While no VM is known there may be any number: nothing is taken of what all share.
 	private int vmsSharingBudgets() {
-		int known = this.mesh.knownVms();
+		int known = this.mesh.knownVmCount();
 		return (known > 0) ? known : Integer.MAX_VALUE;
 	}
 
@@ -194,14 +197,14 @@
 
 	private void onChange() {
 		wantDuties();
-		this.pieces.onChange();
+		this.pieces.refreshPools();
 	}
 
 	private void wantDuties() {
-		List<Duty> duties = new ArrayList<>(this.pieces.duties());
+		List<LeaderRole> duties = new ArrayList<>(this.pieces.duties());
 		duties.addAll(this.store.duties());
 		duties.addAll(this.statements.duties());
-		this.mesh.want(duties);
+		this.mesh.setWatchedRoles(duties);
 	}
 
 	private Either<String, Listeners> listen() {
@@ -210,7 +213,7 @@
 		return this.transport.listen(peers, this.mesh::receive)
 			.flatMap((wire) -> HttpServer.start(this.group, this.settings.readiness(), this.readiness)
 				.flatMap((ready) -> HttpServer.start(this.group, this.settings.callers(), this.callerHandler)
-					.flatMap((callers) -> HttpServer.start(this.group, metricsAddress, new MetricsPage(this.metrics))
+					.flatMap((callers) -> HttpServer.start(this.group, metricsAddress, new MetricsHandler(this.metrics))
 						.map((page) -> new Listeners(new Address(this.settings.ip(), wire.port()), ready, callers,
 								page)))))
 			.peek((listeners) -> this.listeners = Optional.of(listeners));
@@ -242,18 +245,18 @@
 
 	private void begin(Listeners listeners) {
 		this.metrics.gauge("config.version", () -> this.config.current().map(ServingConfig::version).orElse(0L));
-		this.metrics.gauge("vms.live", this.mesh::liveVms);
+		this.metrics.gauge("vms.live", this.mesh::liveVmCount);
 		this.metrics.gauge("pieces.outstanding", this.pieces::outstanding);
 		this.metrics.gauge("store.missed", () -> this.store.missed() ? 1 : 0);
 		this.metrics.gauge("upstreams", () -> this.directory.ids().size());
-		this.metrics.gauge("evacuated_domains", () -> this.directory.evacuated().size());
+		this.metrics.gauge("evacuated_domains", () -> this.directory.evacuatedDomains().size());
 		this.metrics.gauge("store.era", this.store::era);
 		this.metrics.gauge("store.kept_against_copy", this.store::keptAgainstCopy);
 		this.metrics.gauge("upstreams.limited", this.statements::limited);
 		this.metrics.gauge("upstreams.leaving", this.statements::leaving);
 		this.metrics.gauge("upstreams.resting", this.statements::resting);
 		this.metrics.gauge("quarantine.requests", () -> this.quarantine.all().size());
-		this.metrics.gauge("store.following", () -> this.store.following() ? 1 : 0);
+		this.metrics.gauge("store.following", () -> this.store.readsStore() ? 1 : 0);
 		this.drainAction = () -> beginDrain(listeners.callers());
 		this.log.event(EventCode.PROCESS_STARTED, "vm", this.settings.vm(), "domain", this.settings.failureDomain(),
 				"callers", new Address(this.settings.ip(), callersPort()), "readiness",
@@ -267,12 +270,12 @@
 		this.crashSpread.start(this.mesh);
 		this.statementSpread.start(this.mesh);
 		this.permits.start(this.mesh);
-		this.loop.every(HOUSEKEEPING_MS, this::housekeeping);
+		this.loop.scheduleWithFixedDelay(HOUSEKEEPING_MS, this::housekeeping);
 	}
 
 	private void housekeeping() {
-		this.directory.tick(this.loop.nowMs());
-		this.cold.tick(this.loop.nowMs());
+		this.directory.expireVanished(this.loop.nowMs());
+		this.cold.expire(this.loop.nowMs());
 		this.crashNews.tick();
 		this.statements.tick();
 		this.permits.tick();
@@ -285,7 +288,7 @@
 	 * @param fresh the settings
 	 */
 	void reload(NodeSettings fresh) {
-		this.loop.later(() -> {
+		this.loop.execute(() -> {
 			this.budgets.update(fresh.bounds());
 			this.log.event(EventCode.SETTINGS_CHANGED, "taken", true);
 		});
@@ -296,12 +299,12 @@
 	 * @param problems what is wrong with it
 	 */
 	void reloadFailed(List<String> problems) {
-		this.loop.later(() -> this.log.event(EventCode.SETTINGS_CHANGED, "taken", false, "problems", problems));
+		this.loop.execute(() -> this.log.event(EventCode.SETTINGS_CHANGED, "taken", false, "problems", problems));
 	}
 
 	/** Begin a graceful stop. */
 	void drain() {
-		this.loop.later(() -> this.drainAction.run());
+		this.loop.execute(() -> this.drainAction.run());
 	}
 
 	/**
@@ -310,7 +313,7 @@
 	 * @param task the task
 	 */
 	void everyCheck(long periodMs, Runnable task) {
-		this.loop.every(periodMs, task);
+		this.loop.scheduleWithFixedDelay(periodMs, task);
 	}
 
 	private void beginDrain(HttpServer callers) {
@@ -323,7 +326,7 @@
 		this.pieces.handOver();
 		callers.drain();
 		long deadline = this.loop.nowMs() + this.settings.bounds().graceMs() - BEFORE_KILL_MS;
-		this.loop.after(STILL_ACCEPTING_MS, () -> {
+		this.loop.schedule(STILL_ACCEPTING_MS, () -> {
 			callers.stopListening();
 			callers.closeIdle();
 			awaitIdle(callers, deadline);
@@ -334,10 +337,10 @@
 		boolean idle = callers.busyConnections() == 0 && this.pieces.idle();
 		if (idle || this.loop.nowMs() >= deadline) {
 			this.log.event(EventCode.DRAIN_ENDED, "idle", idle);
-			this.loop.after(STOP_CHECK_MS, this.stopped::countDown);
+			this.loop.schedule(STOP_CHECK_MS, this.stopped::countDown);
 			return;
 		}
-		this.loop.after(STOP_CHECK_MS, () -> awaitIdle(callers, deadline));
+		this.loop.schedule(STOP_CHECK_MS, () -> awaitIdle(callers, deadline));
 	}
 
 	/**
--- a/node/src/main/java/org/tallycart/node/Readiness.java
+++ b/node/src/main/java/org/tallycart/node/ReadinessHandler.java
@@ -8,7 +8,7 @@
 import org.tallycart.http.event.RequestLimits;
 import org.tallycart.http.event.Responder;
 import org.tallycart.node.log.NodeLog;
-import org.tallycart.node.store.ConfigInForce;
+import org.tallycart.node.store.ActiveConfig;
 import org.tallycart.platform.http.CallerCodec;
 import org.tallycart.runtime.event.EventCode;
 
@@ -18,7 +18,7 @@
  * <p>
  * Not thread-safe: belongs to the event loop.
  */
-final class Readiness implements RequestHandler {
+final class ReadinessHandler implements RequestHandler {
 
 	private static final int READY = 200;
 
@@ -26,7 +26,7 @@
 
 	private static final int NOT_FOUND = 404;
 
-	private final ConfigInForce config;
+	private final ActiveConfig config;
 
 	private final UpstreamDirectory directory;
 
@@ -36,14 +36,14 @@
 
 	private boolean lastSaid;
 
-	Readiness(ConfigInForce config, UpstreamDirectory directory, NodeLog log) {
+	ReadinessHandler(ActiveConfig config, UpstreamDirectory directory, NodeLog log) {
 		this.config = config;
 		this.directory = directory;
 		this.log = log;
 	}
 
 	boolean ready() {
-		boolean ready = !this.draining && this.config.current().isPresent() && this.directory.known();
+		boolean ready = !this.draining && this.config.current().isPresent() && this.directory.isLoaded();
 		if (ready != this.lastSaid) {
 			this.lastSaid = ready;
 			this.log.event(EventCode.READINESS_CHANGED, "ready", ready, "draining", this.draining);
--- a/node/src/main/java/org/tallycart/node/SelfTest.java
+++ b/node/src/main/java/org/tallycart/node/SelfTest.java
@@ -15,7 +15,7 @@
 import org.tallycart.core.ini.Address;
 import org.tallycart.core.serving.NodeSettings;
 import org.tallycart.http.event.HttpServer;
-import org.tallycart.node.metrics.MetricsPage;
+import org.tallycart.node.metrics.MetricsHandler;
 import org.tallycart.platform.http.CallerCodec;
 import org.tallycart.platform.rehearsal.RehearsalStore;
 import org.tallycart.platform.rehearsal.RehearsalUpstream;
@@ -82,7 +82,7 @@
 	private void startNodes(Address store) {
 		for (int i = 0; i < VMS; i++) {
 			NodeSettings settings = new NodeSettings(NAME + i, LOOPBACK, NAME, ANY_PORT, ANY_PORT, 0, CAPACITY, store,
-					new NodeSettings.Bounds(TIMEOUT_MS, 0, TIMEOUT_MS, 0), true);
+					new NodeSettings.PlatformLimits(TIMEOUT_MS, 0, TIMEOUT_MS, 0), true);
 			Either<String, Node> node = Node.start(settings, 0);
 			node.peek(this.nodes::add).peekLeft(this.failures::add);
 		}
@@ -97,7 +97,7 @@
 			expect(node, RehearsalUpstream.PLAIN);
 			expect(node, RehearsalUpstream.STREAM);
 			expect(node.callersPort(), "/", "400");
-			expect(node.metricsPort(), MetricsPage.PATH, "200");
+			expect(node.metricsPort(), MetricsHandler.PATH, "200");
 		}
 		Node first = this.nodes.get(0);
 		first.drain();
--- a/node/src/main/java/org/tallycart/node/crash/CrashWire.java
+++ b/node/src/main/java/org/tallycart/node/crash/CrashMessageCodec.java
@@ -20,9 +20,9 @@
  * <p>
  * Thread-safe: holds no state.
  */
-final class CrashWire {
+final class CrashMessageCodec {
 
-	private CrashWire() {
+	private CrashMessageCodec() {
 	}
 
 	static Envelope.Builder encode(CrashReport report, long nowMs) {
--- a/node/src/main/java/org/tallycart/node/crash/CrashNews.java
+++ b/node/src/main/java/org/tallycart/node/crash/CrashReportCoordinator.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Map;
 
-import org.tallycart.core.crash.CrashLedger;
 import org.tallycart.core.crash.CrashReport;
-import org.tallycart.core.crash.CrashReports;
+import org.tallycart.core.crash.CrashingRequestDetector;
 import org.tallycart.core.crash.Fingerprint;
 import org.tallycart.core.crash.Quarantine;
+import org.tallycart.core.crash.RecentCrashReports;
 import org.tallycart.core.crash.ServedRequests;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
-import org.tallycart.node.peer.NewsSpread;
-import org.tallycart.node.peer.PeerMessages;
+import org.tallycart.node.peer.NoticeDistributor;
+import org.tallycart.node.peer.PeerMessageHandler;
 import org.tallycart.platform.store.QuarantineRecords;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.runtime.process.Clocks;
@@ -24,24 +24,24 @@
 
 /**
  * Gathers what all VMs saw of crashes, and spreads which requests are to be kept away
- * from upstreams. Reports go to the VM that reads the store, see {@link NewsSpread}; what
- * it finds goes to all at once, and into the store for VMs that start later. Before a
- * request is kept away all VMs are asked whether they answered it meanwhile. A request
- * costs no call of the store, and a calm day no message.
+ * from upstreams. Reports go to the VM that reads the store, see
+ * {@link NoticeDistributor}; what it finds goes to all at once, and into the store for
+ * VMs that start later. Before a request is kept away all VMs are asked whether they
+ * answered it meanwhile. A request costs no call of the store, and a calm day no message.
  * <p>
  * Where that VM is lost, reports are told again to whoever is the source then. A request
  * may be found twice, which changes nothing. Not thread-safe: belongs to the event loop.
  *
  * @since 0.1
  */
-public final class CrashNews implements PeerMessages {
+public final class CrashReportCoordinator implements PeerMessageHandler {
 
 	/** When to write a record is tried again, in milliseconds. */
 	private static final long PUBLISH_RETRY_MS = 1_000;
 
-	private final CrashReports reports = new CrashReports();
+	private final RecentCrashReports reports = new RecentCrashReports();
 
-	private final CrashLedger ledger = new CrashLedger();
+	private final CrashingRequestDetector ledger = new CrashingRequestDetector();
 
 	private final ServedRequests served = new ServedRequests();
 
@@ -49,13 +49,13 @@
 
 	private final Quarantine quarantine;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final NodeLog log;
 
 	private final QuarantineRecords records;
 
-	private final NewsSpread spread;
+	private final NoticeDistributor spread;
 
 	/**
 	 * Create the news of a process.
@@ -65,13 +65,14 @@
 	 * @param records the store's records of it
 	 * @param spread the way to the other VMs
 	 */
-	public CrashNews(Quarantine quarantine, Loop loop, NodeLog log, QuarantineRecords records, NewsSpread spread) {
+	public CrashReportCoordinator(Quarantine quarantine, EventLoop loop, NodeLog log, QuarantineRecords records,
+			NoticeDistributor spread) {
 		this.quarantine = quarantine;
 		this.loop = loop;
 		this.log = log;
 		this.records = records;
 		this.spread = spread;
-		spread.onFollower(this::tellAll);
+		spread.onSubscriber(this::tellAll);
 	}
 
 	/**
@@ -84,30 +85,31 @@
 
 	private void passUp(CrashReport report) {
 		long now = this.loop.nowMs();
-		if (this.spread.gathersHere()) {
-			this.ledger.onReport(report, now).forEach((suspect) -> ask(suspect, this.ledger.firstEndMs(suspect, now)));
-			this.loop.after(CrashLedger.CONFIRM_MS, this::takeFound);
+		if (this.spread.collectsReports()) {
+			this.ledger.onReport(report, now)
+				.forEach((suspect) -> ask(suspect, this.ledger.firstCrashMs(suspect, now)));
+			this.loop.schedule(CrashingRequestDetector.CONFIRM_MS, this::takeFound);
 		}
-		this.spread.tellAbove(CrashWire.encode(report, now));
+		this.spread.sendUp(CrashMessageCodec.encode(report, now));
 	}
 
 	private void ask(Fingerprint suspect, long sinceMs) {
 		long now = this.loop.nowMs();
 		Long before = this.askedMs.put(suspect, now);
-		this.askedMs.values().removeIf((at) -> now - at > CrashLedger.CONFIRM_MS);
-		if (this.served.since(suspect, sinceMs)) {
+		this.askedMs.values().removeIf((at) -> now - at > CrashingRequestDetector.CONFIRM_MS);
+		if (this.served.servedSince(suspect, sinceMs)) {
 			clear(suspect);
 		}
-		else if (before == null || now - before > CrashLedger.CONFIRM_MS) {
-			this.spread.tellBelow(CrashWire.question(suspect, sinceMs, now));
+		else if (before == null || now - before > CrashingRequestDetector.CONFIRM_MS) {
+			this.spread.sendDown(CrashMessageCodec.question(suspect, sinceMs, now));
 		}
 	}
 
 	private void takeFound() {
 		long now = this.loop.nowMs();
-		for (Fingerprint found : this.ledger.take(now)) {
+		for (Fingerprint found : this.ledger.takeConfirmed(now)) {
 			this.log.event(EventCode.CRASHING_REQUEST_FOUND, "fingerprint", found.shortText(), "ends",
-					this.ledger.ends(found));
+					this.ledger.crashCount(found));
 			publish(found, Clocks.SYSTEM.wallMs() + Quarantine.TERM_MS);
 			take("reports", List.of(found), now + Quarantine.TERM_MS);
 		}
@@ -117,14 +119,14 @@
 		this.records.publish(found, untilWallMs, (done) -> {
 			boolean wanted = this.quarantine.remainingMs(found, this.loop.nowMs()) > 0;
 			if (!done && wanted) {
-				this.loop.after(PUBLISH_RETRY_MS, () -> publish(found, untilWallMs));
+				this.loop.schedule(PUBLISH_RETRY_MS, () -> publish(found, untilWallMs));
 			}
 		});
 	}
 
 	/** Write all findings again, since the store may have lost them. */
 	public void publishAgain() {
-		if (this.spread.gathersHere()) {
+		if (this.spread.collectsReports()) {
 			long now = this.loop.nowMs();
 			this.quarantine.all().forEach((found, untilMs) -> publish(found, Clocks.SYSTEM.wallMs() + untilMs - now));
 		}
@@ -136,15 +138,15 @@
 		if (!fresh.isEmpty()) {
 			this.log.event(EventCode.QUARANTINE_CHANGED, "by", by, "requests",
 					fresh.stream().map(Fingerprint::shortText).toList());
-			this.spread.tellBelow(CrashWire.notice(this.quarantine.all(), fresh, this.loop.nowMs()));
+			this.spread.sendDown(CrashMessageCodec.notice(this.quarantine.all(), fresh, this.loop.nowMs()));
 		}
 	}
 
 	private void tellAll(String follower) {
 		Map<Fingerprint, Long> all = this.quarantine.all();
 		if (!all.isEmpty()) {
-			Envelope.Builder notice = CrashWire.notice(all, all.keySet(), this.loop.nowMs());
-			this.spread.tell(follower, notice);
+			Envelope.Builder notice = CrashMessageCodec.notice(all, all.keySet(), this.loop.nowMs());
+			this.spread.sendTo(follower, notice);
 		}
 	}
 
@@ -159,24 +161,24 @@
 
 	// Passed on once by each VM that was asked or has told of it.
 	private void clear(Fingerprint fingerprint) {
-		boolean told = this.reports.clear(fingerprint);
+		boolean told = this.reports.removeSuspect(fingerprint);
 		boolean asked = this.askedMs.remove(fingerprint) != null;
 		if (!told && !asked) {
 			return;
 		}
-		if (this.spread.gathersHere()) {
+		if (this.spread.collectsReports()) {
 			this.ledger.onCleared(fingerprint, this.loop.nowMs());
 		}
-		this.spread.tellAbove(CrashWire.cleared(fingerprint));
+		this.spread.sendUp(CrashMessageCodec.cleared(fingerprint));
 	}
 
 	/** Tell a new source what the former one was told. To be called now and then. */
 	public void tick() {
-		if (this.spread.takeChange()) {
+		if (this.spread.takeReceiverChange()) {
 			this.reports.all().forEach(this::passUp);
 		}
 		List<Fingerprint> over = this.quarantine.expire(this.loop.nowMs());
-		if (this.spread.gathersHere()) {
+		if (this.spread.collectsReports()) {
 			over.forEach(this.records::remove);
 		}
 	}
@@ -184,7 +186,7 @@
 	@Override
 	public void onMessage(String from, Envelope message) {
 		switch (message.getBodyCase()) {
-			case CRASH_REPORT -> onReport(from, CrashWire.decode(message.getCrashReport(), this.loop.nowMs()));
+			case CRASH_REPORT -> onReport(from, CrashMessageCodec.decode(message.getCrashReport(), this.loop.nowMs()));
 			case CRASH_CLEARED ->
 				message.getCrashCleared().getFingerprintsList().forEach((text) -> clear(new Fingerprint(text)));
 			case CRASH_QUESTION -> onQuestion(message.getCrashQuestion());
@@ -201,7 +203,7 @@
 	}
 
 	private void onReport(String from, CrashReport report) {
-		this.spread.onTold(from);
+		this.spread.addReporter(from);
 		onCrash(report);
 	}
 
--- a/node/src/main/java/org/tallycart/node/crash/Cut.java
+++ b/node/src/main/java/org/tallycart/node/crash/InterruptedRequest.java
@@ -10,7 +10,7 @@
  * negative if nothing of an answer had come
  * @since 0.1
  */
-public record Cut(Suspect request, long answeringMs) {
+public record InterruptedRequest(Suspect request, long answeringMs) {
 
 	/** Nothing of an answer had come. */
 	public static final long NOT_ANSWERED = -1;
--- a/node/src/main/java/org/tallycart/node/crash/CrashWatch.java
+++ b/node/src/main/java/org/tallycart/node/crash/UpstreamCrashDetector.java
@@ -11,7 +11,7 @@
 import org.tallycart.core.serving.UpstreamEntry;
 import org.tallycart.http.event.HttpClient;
 import org.tallycart.http.event.Presence;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.node.metrics.NodeMetrics;
 import org.tallycart.runtime.event.EventCode;
@@ -25,7 +25,7 @@
  *
  * @since 0.1
  */
-public final class CrashWatch {
+public final class UpstreamCrashDetector {
 
 	/**
 	 * How long cut requests of an upstream are collected before it is looked for, in
@@ -40,13 +40,13 @@
 
 	private final HttpClient http;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final NodeLog log;
 
 	private final NodeMetrics metrics;
 
-	private final CrashNews news;
+	private final CrashReportCoordinator news;
 
 	private final Map<String, Cuts> collected = new HashMap<>();
 
@@ -58,7 +58,8 @@
 	 * @param metrics what is counted
 	 * @param news hears of each upstream that has ended
 	 */
-	public CrashWatch(HttpClient http, Loop loop, NodeLog log, NodeMetrics metrics, CrashNews news) {
+	public UpstreamCrashDetector(HttpClient http, EventLoop loop, NodeLog log, NodeMetrics metrics,
+			CrashReportCoordinator news) {
 		this.http = http;
 		this.loop = loop;
 		this.log = log;
@@ -71,14 +72,14 @@
 	 * @param upstream where
 	 * @param cut the request
 	 */
-	public void onCut(UpstreamEntry upstream, Cut cut) {
+	public void onInterrupted(UpstreamEntry upstream, InterruptedRequest cut) {
 		Cuts known = this.collected.get(upstream.incarnation());
 		if (known != null) {
 			known.requests.add(cut);
 			return;
 		}
 		this.collected.put(upstream.incarnation(), new Cuts(this.loop.nowMs(), new ArrayList<>(List.of(cut))));
-		this.loop.after(COLLECT_MS, () -> this.http.probe(upstream.address(), CONNECT_TIMEOUT_MS,
+		this.loop.schedule(COLLECT_MS, () -> this.http.probe(upstream.address(), CONNECT_TIMEOUT_MS,
 				(presence) -> onFound(upstream, presence)));
 	}
 
@@ -99,7 +100,10 @@
 		this.metrics.onUpstreamCut(presence == Presence.REFUSES);
 		this.log.event(EventCode.REQUESTS_CUT, "upstream", upstream.id(), "service", upstream.service(), "upstream_is",
 				presence, "requests", cuts.requests);
-		List<Suspect> suspects = cuts.requests.stream().filter(Cut::mayHaveCrashedIt).map(Cut::request).toList();
+		List<Suspect> suspects = cuts.requests.stream()
+			.filter(InterruptedRequest::mayHaveCrashedIt)
+			.map(InterruptedRequest::request)
+			.toList();
 		if (presence == Presence.REFUSES && !suspects.isEmpty()) {
 			this.news.onCrash(CrashReport.of(upstream.incarnation(), cuts.sinceMs, suspects));
 		}
@@ -111,7 +115,7 @@
 	 * @param sinceMs when the first was, on the steady clock
 	 * @param requests all of it
 	 */
-	private record Cuts(long sinceMs, List<Cut> requests) {
+	private record Cuts(long sinceMs, List<InterruptedRequest> requests) {
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/metrics/MetricsPage.java
+++ b/node/src/main/java/org/tallycart/node/metrics/MetricsHandler.java
@@ -22,7 +22,7 @@
  *
  * @since 0.1
  */
-public final class MetricsPage implements RequestHandler {
+public final class MetricsHandler implements RequestHandler {
 
 	/** Where metrics are shown. */
 	public static final String PATH = "/metrics";
@@ -42,7 +42,7 @@
 	 * Create a page.
 	 * @param metrics what it shows
 	 */
-	public MetricsPage(NodeMetrics metrics) {
+	public MetricsHandler(NodeMetrics metrics) {
 		this.metrics = metrics;
 		this.collectors.register(new DropwizardExports(metrics.registry()));
 	}
--- a/node/src/main/java/org/tallycart/node/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/tallycart/node/metrics/NodeMetrics.java
@@ -67,7 +67,7 @@
 	}
 
 	/** Count a repeat that the budget did not allow. */
-	public void onRepeatDenied() {
+	public void onRetryDenied() {
 		this.registry.counter("sends.repeats_denied").inc();
 	}
 
--- a/node/src/main/java/org/tallycart/node/peer/NewsPath.java
+++ b/node/src/main/java/org/tallycart/node/peer/DistributionTree.java
@@ -11,7 +11,7 @@
  *
  * @since 0.1
  */
-public interface NewsPath {
+public interface DistributionTree {
 
 	/**
 	 * Return the VM that this one is told by.
@@ -23,13 +23,13 @@
 	 * Return whether this VM reads the store itself, and so is told by no other.
 	 * @return true if it does
 	 */
-	boolean following();
+	boolean readsStore();
 
 	/**
 	 * Return the VM that should read the store, as this VM sees it.
 	 * @return its name; this VM's own if it knows no other
 	 */
-	String reader();
+	String storeReader();
 
 	/**
 	 * Return the VMs that pass on news in each failure domain, or would next.
@@ -41,12 +41,12 @@
 	 * Hear of VMs that begin to be told by this one.
 	 * @param listener takes their names, before they are told anything
 	 */
-	void onFollower(Consumer<String> listener);
+	void onSubscriber(Consumer<String> listener);
 
 	/**
 	 * Send a message to the VMs that are told by this one.
 	 * @param message the message
 	 */
-	void tellFollowers(Envelope message);
+	void sendToSubscribers(Envelope message);
 
 }
--- a/node/src/main/java/org/tallycart/node/peer/BeatListener.java
+++ b/node/src/main/java/org/tallycart/node/peer/HeartbeatHandler.java
@@ -9,14 +9,14 @@
  *
  * @since 0.1
  */
-public interface BeatListener {
+public interface HeartbeatHandler {
 
 	/**
 	 * Add to a question before it is sent.
 	 * @param vm the VM that is asked
 	 * @param question the question
 	 */
-	void onAsking(String vm, NodeBeat.Builder question);
+	void prepareRequest(String vm, NodeBeat.Builder question);
 
 	/**
 	 * Take a question, and add to the answer.
@@ -24,19 +24,19 @@
 	 * @param question its question
 	 * @param answer the answer
 	 */
-	void onAsked(String vm, NodeBeat question, NodeBeat.Builder answer);
+	void onRequest(String vm, NodeBeat question, NodeBeat.Builder answer);
 
 	/**
 	 * Take an answer.
 	 * @param vm the VM that answers
 	 * @param answer its answer
 	 */
-	void onAnswered(String vm, NodeBeat answer);
+	void onReply(String vm, NodeBeat answer);
 
 	/**
 	 * Take objects of the store that another VM passes on.
 	 * @param update the objects
 	 */
-	void onUpdate(FeedUpdate update);
+	void onFeedUpdate(FeedUpdate update);
 
 }
--- a/node/src/main/java/org/tallycart/node/peer/NewsSpread.java
+++ b/node/src/main/java/org/tallycart/node/peer/NoticeDistributor.java
@@ -16,7 +16,7 @@
  *
  * @since 0.1
  */
-public final class NewsSpread {
+public final class NoticeDistributor {
 
 	/**
 	 * VMs that have told this one and are answered, at most; more ask whom they follow.
@@ -25,7 +25,7 @@
 
 	private final String vm;
 
-	private final NewsPath path;
+	private final DistributionTree path;
 
 	private final Set<String> reporters = new LinkedHashSet<>();
 
@@ -38,7 +38,7 @@
 	 * @param vm this VM's name
 	 * @param path the way to the VM that reads the store
 	 */
-	public NewsSpread(String vm, NewsPath path) {
+	public NoticeDistributor(String vm, DistributionTree path) {
 		this.vm = vm;
 		this.path = path;
 	}
@@ -55,23 +55,23 @@
 	 * Hear of VMs that begin to be told by this one.
 	 * @param listener takes their names, before they are told anything
 	 */
-	public void onFollower(Consumer<String> listener) {
-		this.path.onFollower(listener);
+	public void onSubscriber(Consumer<String> listener) {
+		this.path.onSubscriber(listener);
 	}
 
 	/**
 	 * Return whether news are gathered here.
 	 * @return true if this VM reads the store
 	 */
-	public boolean gathersHere() {
-		return this.path.following();
+	public boolean collectsReports() {
+		return this.path.readsStore();
 	}
 
 	/**
 	 * Send news to the VM that gathers them, or one that is nearer to it.
 	 * @param message the news
 	 */
-	public void tellAbove(Envelope.Builder message) {
+	public void sendUp(Envelope.Builder message) {
 		String above = above();
 		if (!above.isEmpty()) {
 			this.mesh.ifPresent((peers) -> peers.send(above, message));
@@ -80,7 +80,7 @@
 
 	// Empty where this VM gathers.
 	private String above() {
-		String above = this.path.following() ? this.path.reader() : this.path.source();
+		String above = this.path.readsStore() ? this.path.storeReader() : this.path.source();
 		return above.equals(this.vm) ? "" : above;
 	}
 
@@ -89,12 +89,12 @@
 	 * read it that do not follow each other: they are told, too.
 	 * @param message the news
 	 */
-	public void tellBelow(Envelope.Builder message) {
-		this.path.tellFollowers(message.build());
-		if (this.path.following()) {
+	public void sendDown(Envelope.Builder message) {
+		this.path.sendToSubscribers(message.build());
+		if (this.path.readsStore()) {
 			this.mesh.ifPresent((peers) -> this.path.relays().forEach((relay) -> peers.send(relay, message.clone())));
 		}
-		this.reporters.forEach((reporter) -> tell(reporter, message.clone()));
+		this.reporters.forEach((reporter) -> sendTo(reporter, message.clone()));
 	}
 
 	/**
@@ -102,15 +102,15 @@
 	 * @param follower the VM
 	 * @param message the news
 	 */
-	public void tell(String follower, Envelope.Builder message) {
-		this.mesh.ifPresent((peers) -> peers.answer(follower, message));
+	public void sendTo(String follower, Envelope.Builder message) {
+		this.mesh.ifPresent((peers) -> peers.reply(follower, message));
 	}
 
 	/**
 	 * Take note that a VM has sent news here, and so may have to be told others.
 	 * @param from the VM
 	 */
-	public void onTold(String from) {
+	public void addReporter(String from) {
 		if (this.reporters.size() < MOST_REPORTERS) {
 			this.reporters.add(from);
 		}
@@ -121,7 +121,7 @@
 	 * the former one was told. To be called now and then.
 	 * @return true once after each change
 	 */
-	public boolean takeChange() {
+	public boolean takeReceiverChange() {
 		String above = above();
 		if (above.equals(this.told)) {
 			return false;
--- a/node/src/main/java/org/tallycart/node/peer/PeerMesh.java
+++ b/node/src/main/java/org/tallycart/node/peer/PeerMesh.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 import java.util.Set;
 
-import org.tallycart.core.fleet.Duty;
-import org.tallycart.core.fleet.DutyTable;
-import org.tallycart.core.fleet.DutyView;
-import org.tallycart.core.fleet.HeardVms;
+import org.tallycart.core.fleet.LeaderRole;
+import org.tallycart.core.fleet.LeaderTable;
+import org.tallycart.core.fleet.LeaderView;
+import org.tallycart.core.fleet.PeerReachability;
 import org.tallycart.core.fleet.VmRecord;
 import org.tallycart.core.ini.Address;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.wire.WireClient;
@@ -37,23 +37,23 @@
 	/** Time between two looks at who has to be asked, in milliseconds. */
 	private static final long TICK_MS = 100;
 
-	private final DutyTable table;
+	private final LeaderTable table;
 
 	private final WireTransport transport;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final NodeLog log;
 
-	private final PeerMessages messages;
+	private final PeerMessageHandler messages;
 
-	private final BeatListener beats;
+	private final HeartbeatHandler beats;
 
 	private final Map<Address, WireClient> clients = new HashMap<>();
 
 	private final Map<String, WirePeer> askers = new HashMap<>();
 
-	private final HeardVms heard;
+	private final PeerReachability heard;
 
 	/**
 	 * Create a mesh.
@@ -64,36 +64,36 @@
 	 * @param messages takes what is not a beat
 	 * @param beats adds to beats
 	 */
-	public PeerMesh(String vm, WireTransport transport, Loop loop, NodeLog log, PeerMessages messages,
-			BeatListener beats) {
-		this.table = new DutyTable(vm);
+	public PeerMesh(String vm, WireTransport transport, EventLoop loop, NodeLog log, PeerMessageHandler messages,
+			HeartbeatHandler beats) {
+		this.table = new LeaderTable(vm);
 		this.transport = transport;
 		this.loop = loop;
 		this.log = log;
 		this.messages = messages;
 		this.beats = beats;
-		this.heard = new HeardVms(loop.nowMs());
+		this.heard = new PeerReachability(loop.nowMs());
 	}
 
 	/** Begin to keep in touch. */
 	public void start() {
-		this.loop.every(TICK_MS, this::tick);
+		this.loop.scheduleWithFixedDelay(TICK_MS, this::tick);
 	}
 
 	/**
 	 * Take the VMs that may exist.
 	 * @param records what they tell of themselves
 	 */
-	public void know(Collection<VmRecord> records) {
-		this.table.know(records);
+	public void updateRecords(Collection<VmRecord> records) {
+		this.table.updateRecords(records);
 	}
 
 	/**
 	 * Take the duties that matter to this VM.
 	 * @param duties all of them
 	 */
-	public void want(Collection<Duty> duties) {
-		this.table.want(duties);
+	public void setWatchedRoles(Collection<LeaderRole> duties) {
+		this.table.setWatchedRoles(duties);
 	}
 
 	/**
@@ -101,8 +101,8 @@
 	 * @param duty the duty
 	 * @return the VM's name; this VM's if it knows no other that works
 	 */
-	public String holder(Duty duty) {
-		return this.table.holder(duty);
+	public String holder(LeaderRole duty) {
+		return this.table.leader(duty);
 	}
 
 	/**
@@ -110,26 +110,26 @@
 	 * @param count how many for each failure domain, and for reading the store
 	 * @return their names
 	 */
-	public Set<String> firstForNews(int count) {
-		return this.table.firstForNews(count);
+	public Set<String> preferredSources(int count) {
+		return this.table.preferredSources(count);
 	}
 
 	/**
 	 * Return who holds each duty, as this VM sees it.
 	 * @return a view that follows what this VM learns
 	 */
-	public DutyView duties() {
+	public LeaderView duties() {
 		return this.table;
 	}
 
 	private void tick() {
-		this.table.takeSilent(this.loop.nowMs()).forEach((vm) -> lose(vm, "silent"));
-		this.table.tick(this.loop.nowMs()).forEach(this::ask);
+		this.table.detectFailures(this.loop.nowMs()).forEach((vm) -> lose(vm, "silent"));
+		this.table.dueHeartbeats(this.loop.nowMs()).forEach(this::ask);
 	}
 
 	private void ask(VmRecord record) {
-		NodeBeat.Builder question = NodeBeat.newBuilder().setDraining(this.table.draining());
-		this.beats.onAsking(record.vm(), question);
+		NodeBeat.Builder question = NodeBeat.newBuilder().setDraining(this.table.isDraining());
+		this.beats.prepareRequest(record.vm(), question);
 		client(record).send(Envelope.newBuilder().setNodeBeat(question));
 	}
 
@@ -141,7 +141,7 @@
 	// The connection may be dead without having been closed, so it is made anew.
 	private void lose(String vm, String reason) {
 		this.log.event(EventCode.VM_LOST, "vm", vm, "reason", reason);
-		this.heard.onLost(this.loop.nowMs());
+		this.heard.onPeerLost(this.loop.nowMs());
 		this.table.record(vm).map((record) -> this.clients.get(record.address())).ifPresent(WireClient::cut);
 		this.messages.onLost(vm);
 	}
@@ -159,33 +159,33 @@
 			deliver(message);
 			return;
 		}
-		NodeBeat.Builder answer = NodeBeat.newBuilder().setAnswer(true).setDraining(this.table.draining());
-		this.beats.onAsked(vm, message.getNodeBeat(), answer);
+		NodeBeat.Builder answer = NodeBeat.newBuilder().setAnswer(true).setDraining(this.table.isDraining());
+		this.beats.onRequest(vm, message.getNodeBeat(), answer);
 		peer.send(Envelope.newBuilder().setNodeBeat(answer));
 	}
 
 	private void onHeard(String vm, Envelope message) {
 		if (message.hasNodeBeat() && message.getNodeBeat().getDraining()) {
-			this.heard.onLeaving(vm);
+			this.heard.onDraining(vm);
 		}
 		else {
-			this.heard.onHeard(vm, this.loop.nowMs());
+			this.heard.onMessage(vm, this.loop.nowMs());
 		}
 	}
 
 	/**
 	 * Return this VM's part in a rate that the holder of a duty grants to all VMs.
 	 * @param duty the duty, which this VM holds
-	 * @return a share of the rate, from 0 to 1; see {@link HeardVms#shareOfRate}
+	 * @return a share of the rate, from 0 to 1; see {@link PeerReachability#shareOfRate}
 	 */
-	public double shareOfRate(Duty duty) {
+	public double shareOfRate(LeaderRole duty) {
 		long now = this.loop.nowMs();
-		return this.heard.shareOfRate(this.table.silentAhead(duty, now), this.table.vms(), now);
+		return this.heard.shareOfRate(this.table.unresponsiveAhead(duty, now), this.table.vms(), now);
 	}
 
 	private void deliver(Envelope message) {
 		if (message.hasFeedUpdate()) {
-			this.beats.onUpdate(message.getFeedUpdate());
+			this.beats.onFeedUpdate(message.getFeedUpdate());
 		}
 		else {
 			this.messages.onMessage(message.getSenderVm(), message);
@@ -206,7 +206,7 @@
 				// The usual case: a VM that lives goes on living.
 			}
 		}
-		this.beats.onAnswered(vm, beat);
+		this.beats.onReply(vm, beat);
 	}
 
 	/**
@@ -224,7 +224,7 @@
 	 * @param vm the VM
 	 * @param message the message
 	 */
-	public void answer(String vm, Envelope.Builder message) {
+	public void reply(String vm, Envelope.Builder message) {
 		Optional.ofNullable(this.askers.get(vm)).filter(WirePeer::open).ifPresent((peer) -> peer.send(message));
 	}
 
@@ -232,8 +232,8 @@
 	 * Return how many VMs are known to exist or to have existed.
 	 * @return the count; 0 while nothing is known
 	 */
-	public int knownVms() {
-		return this.table.known();
+	public int knownVmCount() {
+		return this.table.recordCount();
 	}
 
 	/**
@@ -248,8 +248,8 @@
 	 * Return how many VMs that this one asks are live.
 	 * @return the count
 	 */
-	public int liveVms() {
-		return this.table.live();
+	public int liveVmCount() {
+		return this.table.liveCount();
 	}
 
 	/**
@@ -286,7 +286,7 @@
 
 		@Override
 		public void onClosed() {
-			if (PeerMesh.this.table.onClosed(this.vm)) {
+			if (PeerMesh.this.table.onConnectionClosed(this.vm)) {
 				lose(this.vm, "connection closed");
 			}
 		}
--- a/node/src/main/java/org/tallycart/node/peer/PeerMessages.java
+++ b/node/src/main/java/org/tallycart/node/peer/PeerMessageHandler.java
@@ -9,7 +9,7 @@
  *
  * @since 0.1
  */
-public interface PeerMessages {
+public interface PeerMessageHandler {
 
 	/**
 	 * Take a message.
@@ -29,8 +29,8 @@
 	 * @param takers the takers
 	 * @return one that stands for all
 	 */
-	static PeerMessages all(List<PeerMessages> takers) {
-		return new PeerMessages() {
+	static PeerMessageHandler composite(List<PeerMessageHandler> takers) {
+		return new PeerMessageHandler() {
 
 			@Override
 			public void onMessage(String vm, Envelope message) {
--- a/node/src/main/java/org/tallycart/node/piece/PieceWire.java
+++ b/node/src/main/java/org/tallycart/node/piece/PieceMessageCodec.java
@@ -14,9 +14,9 @@
  * <p>
  * Thread-safe: holds no state.
  */
-final class PieceWire {
+final class PieceMessageCodec {
 
-	private PieceWire() {
+	private PieceMessageCodec() {
 	}
 
 	static PieceAsk encode(PieceJob job, long nowMs) {
@@ -40,12 +40,12 @@
 
 	static PieceJob decode(PieceAsk ask, long nowMs) {
 		PieceId id = new PieceId(ask.getRequestId(), ask.getStage(), ask.getPiece());
-		return PieceJob.of(id, ask.getService())
-			.of(new Fingerprint(ask.getFingerprint()))
-			.from(ask.getKey(), ask.getInputsList())
-			.needed(nowMs + ask.getObjectiveInMs(), nowMs + ask.getDeadlineInMs())
+		return PieceJob.builder(id, ask.getService())
+			.fingerprint(new Fingerprint(ask.getFingerprint()))
+			.source(ask.getKey(), ask.getInputsList())
+			.dueBy(nowMs + ask.getObjectiveInMs(), nowMs + ask.getDeadlineInMs())
 			.priority(ask.getPriority())
-			.wantedIn(ask.getFailureDomain(), ask.getMovedBytes())
+			.preferredDomain(ask.getFailureDomain(), ask.getMovedBytes())
 			.result(ask.getResultBytes(), ask.getTogether())
 			.build();
 	}
@@ -78,12 +78,13 @@
 	// A status that a newer VM may know and this one does not counts as a failure.
 	static PieceOutcome outcome(PieceAnswer answer) {
 		return switch (answer.getStatus()) {
-			case MADE -> PieceOutcome.made(answer.getHandle());
-			case LATE -> PieceOutcome.notMade(PieceOutcome.Status.LATE);
-			case INPUT_GONE -> PieceOutcome.notMade(PieceOutcome.Status.INPUT_GONE);
-			case NO_ROOM -> PieceOutcome.notMade(PieceOutcome.Status.NO_ROOM);
+			case MADE -> PieceOutcome.completed(answer.getHandle());
+			case LATE -> PieceOutcome.notCompleted(PieceOutcome.Status.LATE);
+			case INPUT_GONE -> PieceOutcome.notCompleted(PieceOutcome.Status.INPUT_GONE);
+			case NO_ROOM -> PieceOutcome.notCompleted(PieceOutcome.Status.NO_ROOM);
 			case NO_WORKER -> PieceOutcome.noWorker(answer.getRetryAfterMs());
-			case FAILED, INPUTS_READ, HANDED_BACK, UNRECOGNIZED -> PieceOutcome.notMade(PieceOutcome.Status.FAILED);
+			case FAILED, INPUTS_READ, HANDED_BACK, UNRECOGNIZED ->
+				PieceOutcome.notCompleted(PieceOutcome.Status.FAILED);
 		};
 	}
 
--- a/node/src/main/java/org/tallycart/node/piece/PieceOutbox.java
+++ b/node/src/main/java/org/tallycart/node/piece/PieceOutbox.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.peer.PeerMesh;
 import org.tallycart.wire.message.Envelope;
 import org.tallycart.wire.message.PieceAnswer;
@@ -26,7 +26,7 @@
  */
 final class PieceOutbox {
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final Map<String, PieceAsks.Builder> asks = new HashMap<>();
 
@@ -40,7 +40,7 @@
 
 	private boolean sendPlanned;
 
-	PieceOutbox(Loop loop) {
+	PieceOutbox(EventLoop loop) {
 		this.loop = loop;
 	}
 
@@ -72,7 +72,7 @@
 	private void planSend() {
 		if (!this.sendPlanned) {
 			this.sendPlanned = true;
-			this.loop.later(this::sendAll);
+			this.loop.execute(this::sendAll);
 		}
 	}
 
@@ -89,7 +89,7 @@
 		this.withdrawals.forEach((to, message) -> peers.send(to, Envelope.newBuilder().setPieceWithdrawals(message)));
 		this.releases.forEach((to, message) -> peers.send(to, Envelope.newBuilder().setPieceReleases(message)));
 		this.asks.forEach((to, message) -> peers.send(to, Envelope.newBuilder().setPieceAsks(message)));
-		this.answers.forEach((to, message) -> peers.answer(to, Envelope.newBuilder().setPieceAnswers(message)));
+		this.answers.forEach((to, message) -> peers.reply(to, Envelope.newBuilder().setPieceAnswers(message)));
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/piece/PieceService.java
+++ b/node/src/main/java/org/tallycart/node/piece/PieceService.java
@@ -7,17 +7,17 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-import org.tallycart.core.fleet.Duty;
-import org.tallycart.core.pool.PieceAsker;
+import org.tallycart.core.fleet.LeaderRole;
 import org.tallycart.core.pool.PieceId;
 import org.tallycart.core.pool.PieceJob;
+import org.tallycart.core.pool.PieceLatencyEstimator;
+import org.tallycart.core.pool.PieceListener;
 import org.tallycart.core.pool.PieceOutcome;
-import org.tallycart.core.pool.StageTimes;
 import org.tallycart.core.upstream.UpstreamDirectory;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.peer.PeerMesh;
-import org.tallycart.node.peer.PeerMessages;
-import org.tallycart.node.store.ConfigInForce;
+import org.tallycart.node.peer.PeerMessageHandler;
+import org.tallycart.node.store.ActiveConfig;
 import org.tallycart.wire.message.Envelope;
 import org.tallycart.wire.message.PieceAnswer;
 import org.tallycart.wire.message.PieceAsk;
@@ -32,18 +32,18 @@
  *
  * @since 0.1
  */
-public final class PieceService implements PeerMessages {
+public final class PieceService implements PeerMessageHandler {
 
 	/** Time between two looks at pieces that are held, in milliseconds. */
 	private static final long HELD_LOOK_MS = 25;
 
 	private final String vm;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
-	private final ConfigInForce config;
+	private final ActiveConfig config;
 
-	private final HandleReturns returns;
+	private final ResultReleaser returns;
 
 	private final PoolDrivers drivers;
 
@@ -51,9 +51,9 @@
 
 	private final PieceOutbox outbox;
 
-	private final HeldPieces held = new HeldPieces();
+	private final UnroutedPieces held = new UnroutedPieces();
 
-	private final StageTimes times = new StageTimes();
+	private final PieceLatencyEstimator times = new PieceLatencyEstimator();
 
 	private Optional<PeerMesh> mesh = Optional.empty();
 
@@ -64,7 +64,7 @@
 	 * @param config tells what workers can do
 	 * @param directory tells which workers exist
 	 */
-	public PieceService(String vm, PoolParts parts, ConfigInForce config, UpstreamDirectory directory) {
+	public PieceService(String vm, PoolContext parts, ActiveConfig config, UpstreamDirectory directory) {
 		this.vm = vm;
 		this.loop = parts.loop();
 		this.config = config;
@@ -86,17 +86,17 @@
 	 * Return the duties of VMs that this one may ask for pieces.
 	 * @return one for each pool of the configuration
 	 */
-	public List<Duty> duties() {
+	public List<LeaderRole> duties() {
 		return this.config.current()
 			.map((current) -> current.services().values().stream())
 			.orElse(Stream.empty())
 			.filter((service) -> service.pool().isPresent())
-			.map((service) -> Duty.dispatch(service.name()))
+			.map((service) -> LeaderRole.poolDispatcher(service.name()))
 			.toList();
 	}
 
 	/** Take note that the configuration or the list of upstreams has changed. */
-	public void onChange() {
+	public void refreshPools() {
 		this.drivers.onChange();
 	}
 
@@ -106,15 +106,15 @@
 	 * @param asker hears its outcome
 	 * @return the VM that dispatches it; empty while that is not known
 	 */
-	public String ask(PieceJob job, PieceAsker asker) {
-		this.times.onAsked(job, this.loop.nowMs());
+	public String ask(PieceJob job, PieceListener asker) {
+		this.times.onSubmitted(job, this.loop.nowMs());
 		return dispatch(job, new TimedAsker(job, asker));
 	}
 
-	private String dispatch(PieceJob job, PieceAsker asker) {
+	private String dispatch(PieceJob job, PieceListener asker) {
 		if (!settled(job.service())) {
 			if (this.held.isEmpty()) {
-				this.loop.after(HELD_LOOK_MS, this::takeHeld);
+				this.loop.schedule(HELD_LOOK_MS, this::takeHeld);
 			}
 			this.held.hold(job, asker, this.loop.nowMs());
 			return "";
@@ -123,17 +123,19 @@
 	}
 
 	private boolean settled(String service) {
-		return this.mesh.map((peers) -> peers.duties().settled(Duty.dispatch(service), this.loop.nowMs())).orElse(true);
+		return this.mesh
+			.map((peers) -> peers.duties().isLeaderKnown(LeaderRole.poolDispatcher(service), this.loop.nowMs()))
+			.orElse(true);
 	}
 
 	private void takeHeld() {
 		this.held.takeDue(this::settled, this.loop.nowMs()).forEach((each) -> dispatchNow(each.job(), each.asker()));
 		if (!this.held.isEmpty()) {
-			this.loop.after(HELD_LOOK_MS, this::takeHeld);
+			this.loop.schedule(HELD_LOOK_MS, this::takeHeld);
 		}
 	}
 
-	private String dispatchNow(PieceJob job, PieceAsker asker) {
+	private String dispatchNow(PieceJob job, PieceListener asker) {
 		String owner = dispatcher(job.service());
 		if (owner.equals(this.vm)) {
 			this.drivers.driver(job.service()).ifPresent(PoolDriver::resume);
@@ -141,22 +143,22 @@
 		}
 		else {
 			this.outstanding.put(job.id(), new Outstanding(job, asker, owner));
-			this.outbox.ask(owner, PieceWire.encode(job, this.loop.nowMs()));
+			this.outbox.ask(owner, PieceMessageCodec.encode(job, this.loop.nowMs()));
 		}
 		return owner;
 	}
 
 	private String dispatcher(String service) {
-		return this.mesh.map((peers) -> peers.holder(Duty.dispatch(service))).orElse(this.vm);
+		return this.mesh.map((peers) -> peers.holder(LeaderRole.poolDispatcher(service))).orElse(this.vm);
 	}
 
-	private void askHere(PieceJob job, PieceAsker asker) {
+	private void askHere(PieceJob job, PieceListener asker) {
 		Optional<PoolDriver> driver = this.drivers.driver(job.service());
 		if (driver.isPresent()) {
 			driver.get().ask(job, asker);
 		}
 		else {
-			this.loop.later(() -> asker.onOutcome(job.id(), PieceOutcome.notMade(PieceOutcome.Status.FAILED)));
+			this.loop.execute(() -> asker.onOutcome(job.id(), PieceOutcome.notCompleted(PieceOutcome.Status.FAILED)));
 		}
 	}
 
@@ -182,7 +184,7 @@
 		}
 		Outstanding remote = this.outstanding.remove(id);
 		if (remote != null) {
-			this.outbox.withdraw(remote.owner, PieceWire.withdrawal(service, id));
+			this.outbox.withdraw(remote.owner, PieceMessageCodec.withdrawal(service, id));
 		}
 		else {
 			this.drivers.withdraw(service, id);
@@ -226,14 +228,14 @@
 	}
 
 	private void onAsk(String from, PieceAsk ask) {
-		askHere(PieceWire.decode(ask, this.loop.nowMs()), new RemoteAsker(from));
+		askHere(PieceMessageCodec.decode(ask, this.loop.nowMs()), new RemoteAsker(from));
 	}
 
 	private void onAnswer(String from, PieceAnswer answer) {
 		switch (answer.getStatus()) {
-			case INPUTS_READ -> Optional.ofNullable(this.outstanding.get(PieceWire.id(answer)))
+			case INPUTS_READ -> Optional.ofNullable(this.outstanding.get(PieceMessageCodec.id(answer)))
 				.ifPresent((waiting) -> waiting.asker.onInputsRead(waiting.job.id()));
-			case HANDED_BACK -> onHandedBack(from, PieceWire.id(answer));
+			case HANDED_BACK -> onHandedBack(from, PieceMessageCodec.id(answer));
 			default -> onOutcome(answer);
 		}
 	}
@@ -249,8 +251,8 @@
 	}
 
 	private void onOutcome(PieceAnswer answer) {
-		PieceOutcome outcome = PieceWire.outcome(answer);
-		Outstanding waiting = this.outstanding.remove(PieceWire.id(answer));
+		PieceOutcome outcome = PieceMessageCodec.outcome(answer);
+		Outstanding waiting = this.outstanding.remove(PieceMessageCodec.id(answer));
 		if (waiting != null) {
 			waiting.asker.onOutcome(waiting.job.id(), outcome);
 		}
@@ -260,7 +262,7 @@
 	}
 
 	private void onWithdrawal(PieceWithdrawal withdrawal) {
-		this.drivers.withdraw(withdrawal.getService(), PieceWire.id(withdrawal));
+		this.drivers.withdraw(withdrawal.getService(), PieceMessageCodec.id(withdrawal));
 	}
 
 	/**
@@ -298,13 +300,13 @@
 	}
 
 	/** Takes note of how long a piece took. */
-	private final class TimedAsker implements PieceAsker {
+	private final class TimedAsker implements PieceListener {
 
 		private final PieceJob job;
 
-		private final PieceAsker asker;
+		private final PieceListener asker;
 
-		TimedAsker(PieceJob job, PieceAsker asker) {
+		TimedAsker(PieceJob job, PieceListener asker) {
 			this.job = job;
 			this.asker = asker;
 		}
@@ -328,7 +330,7 @@
 	}
 
 	/** Tells another VM what becomes of a piece that it asked for. */
-	private final class RemoteAsker implements PieceAsker {
+	private final class RemoteAsker implements PieceListener {
 
 		private final String vm;
 
@@ -338,17 +340,17 @@
 
 		@Override
 		public void onOutcome(PieceId id, PieceOutcome outcome) {
-			PieceService.this.outbox.answer(this.vm, PieceWire.encode(id, outcome));
+			PieceService.this.outbox.answer(this.vm, PieceMessageCodec.encode(id, outcome));
 		}
 
 		@Override
 		public void onInputsRead(PieceId id) {
-			PieceService.this.outbox.answer(this.vm, PieceWire.notice(id, PieceAnswer.Status.INPUTS_READ));
+			PieceService.this.outbox.answer(this.vm, PieceMessageCodec.notice(id, PieceAnswer.Status.INPUTS_READ));
 		}
 
 		@Override
 		public void onHandedBack(PieceId id) {
-			PieceService.this.outbox.answer(this.vm, PieceWire.notice(id, PieceAnswer.Status.HANDED_BACK));
+			PieceService.this.outbox.answer(this.vm, PieceMessageCodec.notice(id, PieceAnswer.Status.HANDED_BACK));
 		}
 
 	}
@@ -360,7 +362,7 @@
 	 * @param asker who waits for it here
 	 * @param owner the VM that was asked
 	 */
-	private record Outstanding(PieceJob job, PieceAsker asker, String owner) {
+	private record Outstanding(PieceJob job, PieceListener asker, String owner) {
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/piece/PoolParts.java
+++ b/node/src/main/java/org/tallycart/node/piece/PoolContext.java
@@ -1,9 +1,9 @@
 package org.tallycart.node.piece;
 
-import org.tallycart.core.pool.CallLimit;
+import org.tallycart.core.pool.CallLimiter;
 import org.tallycart.http.event.HttpClient;
-import org.tallycart.node.Loop;
-import org.tallycart.node.crash.CrashWatch;
+import org.tallycart.node.EventLoop;
+import org.tallycart.node.crash.UpstreamCrashDetector;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.node.metrics.NodeMetrics;
 import org.tallycart.node.statement.UpstreamStatements;
@@ -21,6 +21,6 @@
  * @param metrics what is counted
  * @since 0.1
  */
-public record PoolParts(HttpClient http, Loop loop, NodeLog log, HandleReturns returns, CrashWatch crashes,
-		UpstreamStatements statements, CallLimit callLimit, NodeMetrics metrics) {
+public record PoolContext(HttpClient http, EventLoop loop, NodeLog log, ResultReleaser returns,
+		UpstreamCrashDetector crashes, UpstreamStatements statements, CallLimiter callLimit, NodeMetrics metrics) {
 }
--- a/node/src/main/java/org/tallycart/node/piece/PoolDriver.java
+++ b/node/src/main/java/org/tallycart/node/piece/PoolDriver.java
@@ -7,9 +7,9 @@
 
 import io.vavr.control.Either;
 import org.tallycart.core.crash.Suspect;
-import org.tallycart.core.pool.PieceAsker;
 import org.tallycart.core.pool.PieceId;
 import org.tallycart.core.pool.PieceJob;
+import org.tallycart.core.pool.PieceListener;
 import org.tallycart.core.pool.PieceOutcome;
 import org.tallycart.core.pool.PoolCall;
 import org.tallycart.core.pool.PoolDispatcher;
@@ -20,7 +20,7 @@
 import org.tallycart.http.event.HttpExchange;
 import org.tallycart.http.event.WholeReply;
 import org.tallycart.http.event.WholeReplyCall;
-import org.tallycart.node.crash.Cut;
+import org.tallycart.node.crash.InterruptedRequest;
 import org.tallycart.platform.http.PieceCodec;
 import org.tallycart.platform.http.UpstreamCodec;
 import org.tallycart.runtime.event.EventCode;
@@ -44,13 +44,13 @@
 
 	private final String service;
 
-	private final PoolParts parts;
+	private final PoolContext parts;
 
 	private final PoolDispatcher dispatcher;
 
 	private boolean pumpPlanned;
 
-	PoolDriver(String service, PoolSpec spec, PoolParts parts) {
+	PoolDriver(String service, PoolSpec spec, PoolContext parts) {
 		this.service = service;
 		this.parts = parts;
 		this.dispatcher = new PoolDispatcher(spec, parts.callLimit());
@@ -66,14 +66,14 @@
 		planPump();
 	}
 
-	void ask(PieceJob job, PieceAsker asker) {
-		this.dispatcher.ask(job, asker);
+	void ask(PieceJob job, PieceListener asker) {
+		this.dispatcher.submit(job, asker);
 		planPump();
 	}
 
 	void release(List<String> handles) {
 		this.parts.returns().give(handles);
-		this.parts.loop().after(HandleReturns.ROOM_BACK_MS, () -> {
+		this.parts.loop().schedule(ResultReleaser.ROOM_BACK_MS, () -> {
 			this.dispatcher.release(handles);
 			planPump();
 		});
@@ -92,7 +92,7 @@
 	}
 
 	boolean idle() {
-		return this.dispatcher.waiting() == 0 && this.dispatcher.callsInProgress() == 0;
+		return this.dispatcher.queueSize() == 0 && this.dispatcher.callsInProgress() == 0;
 	}
 
 	void tick() {
@@ -106,7 +106,7 @@
 	private void planPump() {
 		if (!this.pumpPlanned) {
 			this.pumpPlanned = true;
-			this.parts.loop().later(() -> {
+			this.parts.loop().execute(() -> {
 				this.pumpPlanned = false;
 				pump();
 			});
@@ -127,7 +127,7 @@
 		UpstreamEntry worker = call.worker();
 		this.parts.log()
 			.event(EventCode.POOL_CALL_MADE, "service", this.service, "worker", worker.id(), "call", call.number(),
-					"pieces", call.jobs().size(), "waiting", this.dispatcher.waiting(), "expected_ms",
+					"pieces", call.jobs().size(), "waiting", this.dispatcher.queueSize(), "expected_ms",
 					Math.round(call.expectedMs()), "requests", requests(call));
 		this.parts.statements().onSend(worker);
 		HttpExchange exchange = HttpExchange.to(worker.incarnation(), worker.address(), PieceCodec.runHead(worker))
@@ -149,7 +149,7 @@
 			CallFailure failure = outcome.getLeft();
 			logEnd(call, failure.kind() + ": " + failure.detail());
 			if (failure.sent()) {
-				call.jobs().forEach((job) -> this.parts.crashes().onCut(call.worker(), cut(call, job)));
+				call.jobs().forEach((job) -> this.parts.crashes().onInterrupted(call.worker(), cut(call, job)));
 			}
 			this.dispatcher.onFailure(call.number(), failure.sent(), now);
 		}
@@ -160,8 +160,9 @@
 	}
 
 	// A worker answers a call when all its pieces are made.
-	private static Cut cut(PoolCall call, PieceJob job) {
-		return new Cut(new Suspect(job.fingerprint(), job.id().requestId(), call.startedMs()), Cut.NOT_ANSWERED);
+	private static InterruptedRequest cut(PoolCall call, PieceJob job) {
+		return new InterruptedRequest(new Suspect(job.fingerprint(), job.id().requestId(), call.startedMs()),
+				InterruptedRequest.NOT_ANSWERED);
 	}
 
 	private void onAnswer(PoolCall call, WholeReply reply, long now) {
--- a/node/src/main/java/org/tallycart/node/piece/PoolDrivers.java
+++ b/node/src/main/java/org/tallycart/node/piece/PoolDrivers.java
@@ -12,7 +12,7 @@
 import org.tallycart.core.serving.ServiceSpec;
 import org.tallycart.core.serving.UpstreamEntry;
 import org.tallycart.core.upstream.UpstreamDirectory;
-import org.tallycart.node.store.ConfigInForce;
+import org.tallycart.node.store.ActiveConfig;
 
 /**
  * The pools whose calls this VM makes, or has made.
@@ -22,15 +22,15 @@
  */
 final class PoolDrivers {
 
-	private final PoolParts parts;
+	private final PoolContext parts;
 
-	private final ConfigInForce config;
+	private final ActiveConfig config;
 
 	private final UpstreamDirectory directory;
 
 	private final Map<String, PoolDriver> drivers = new HashMap<>();
 
-	PoolDrivers(PoolParts parts, ConfigInForce config, UpstreamDirectory directory) {
+	PoolDrivers(PoolContext parts, ActiveConfig config, UpstreamDirectory directory) {
 		this.parts = parts;
 		this.config = config;
 		this.directory = directory;
@@ -48,7 +48,7 @@
 	private PoolDriver make(String service, PoolSpec spec) {
 		PoolDriver fresh = new PoolDriver(service, spec, this.parts);
 		update(fresh, service, spec);
-		this.parts.loop().every(PoolDriver.TICK_MS, fresh::tick);
+		this.parts.loop().scheduleWithFixedDelay(PoolDriver.TICK_MS, fresh::tick);
 		this.drivers.put(service, fresh);
 		return fresh;
 	}
@@ -58,7 +58,7 @@
 	}
 
 	private List<UpstreamEntry> workers(String service) {
-		return this.directory.all(service).stream().map((state) -> state.entry()).toList();
+		return this.directory.activeUpstreams(service).stream().map((state) -> state.entry()).toList();
 	}
 
 	// The configuration or the list of upstreams has changed.
@@ -71,8 +71,8 @@
 	// pieces wait.
 	private void update(PoolDriver driver, String service, PoolSpec spec) {
 		driver.update(spec);
-		if (this.directory.known()) {
-			driver.updateWorkers(workers(service), this.directory.evacuated());
+		if (this.directory.isLoaded()) {
+			driver.updateWorkers(workers(service), this.directory.evacuatedDomains());
 		}
 	}
 
--- a/node/src/main/java/org/tallycart/node/piece/HandleReturns.java
+++ b/node/src/main/java/org/tallycart/node/piece/ResultReleaser.java
@@ -12,7 +12,7 @@
 import org.tallycart.http.event.HttpClient;
 import org.tallycart.http.event.HttpExchange;
 import org.tallycart.http.event.WholeReplyCall;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.platform.http.PieceCodec;
 
 /**
@@ -23,7 +23,7 @@
  *
  * @since 0.1
  */
-public final class HandleReturns {
+public final class ResultReleaser {
 
 	/**
 	 * How long results are collected for one call, in milliseconds: they hold room
@@ -48,7 +48,7 @@
 
 	private final HttpClient http;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final UpstreamDirectory directory;
 
@@ -60,7 +60,7 @@
 	 * @param loop the event loop
 	 * @param directory knows which makers still exist
 	 */
-	public HandleReturns(HttpClient http, Loop loop, UpstreamDirectory directory) {
+	public ResultReleaser(HttpClient http, EventLoop loop, UpstreamDirectory directory) {
 		this.http = http;
 		this.loop = loop;
 		this.directory = directory;
@@ -78,7 +78,7 @@
 
 	private void collect(Address maker, String handle) {
 		if (this.collected.isEmpty()) {
-			this.loop.after(COLLECT_MS, this::flush);
+			this.loop.schedule(COLLECT_MS, this::flush);
 		}
 		this.collected.computeIfAbsent(maker, (key) -> new ArrayList<>()).add(handle);
 	}
@@ -93,16 +93,17 @@
 	// so
 	// nobody waits for the room.
 	private void sendOrHold(Address maker, List<String> handles) {
-		Optional<UpstreamState> present = this.directory.at(maker);
+		Optional<UpstreamState> present = this.directory.findByAddress(maker);
 		if (present.isEmpty()) {
 			return;
 		}
-		long restMs = this.directory.absences().restMs(present.get().entry().incarnation(), this.loop.nowMs());
+		long restMs = this.directory.unavailability()
+			.remainingBackoffMs(present.get().entry().incarnation(), this.loop.nowMs());
 		if (restMs == 0) {
 			send(present.get(), maker, handles);
 		}
 		else if (restMs <= LONGEST_HOLD_MS) {
-			this.loop.after(restMs, () -> sendOrHold(maker, handles));
+			this.loop.schedule(restMs, () -> sendOrHold(maker, handles));
 		}
 	}
 
--- a/node/src/main/java/org/tallycart/node/piece/HeldPieces.java
+++ b/node/src/main/java/org/tallycart/node/piece/UnroutedPieces.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-import org.tallycart.core.pool.PieceAsker;
 import org.tallycart.core.pool.PieceId;
 import org.tallycart.core.pool.PieceJob;
+import org.tallycart.core.pool.PieceListener;
 
 /**
  * Pieces that wait for it to be known which VM dispatches their pool.
@@ -20,7 +20,7 @@
  * Invariant: a piece that is held is taken or withdrawn once, after {@link #LONGEST_MS}
  * at most. Not thread-safe: belongs to the event loop.
  */
-final class HeldPieces {
+final class UnroutedPieces {
 
 	/**
 	 * How long a piece is held at most, in milliseconds: a VM that starts at the same
@@ -28,10 +28,10 @@
 	 */
 	static final long LONGEST_MS = 300;
 
-	private final Map<PieceId, Held> held = new LinkedHashMap<>();
+	private final Map<PieceId, UnroutedPiece> held = new LinkedHashMap<>();
 
-	void hold(PieceJob job, PieceAsker asker, long nowMs) {
-		this.held.put(job.id(), new Held(job, asker, nowMs + LONGEST_MS));
+	void hold(PieceJob job, PieceListener asker, long nowMs) {
+		this.held.put(job.id(), new UnroutedPiece(job, asker, nowMs + LONGEST_MS));
 	}
 
 	boolean withdraw(PieceId id) {
@@ -39,9 +39,9 @@
 	}
 
 	// Takes the pieces whose pool has a known dispatcher, and those that waited enough.
-	List<Held> takeDue(Predicate<String> settled, long nowMs) {
-		List<Held> due = new ArrayList<>();
-		for (Held each : this.held.values()) {
+	List<UnroutedPiece> takeDue(Predicate<String> settled, long nowMs) {
+		List<UnroutedPiece> due = new ArrayList<>();
+		for (UnroutedPiece each : this.held.values()) {
 			if (nowMs >= each.untilMs() || settled.test(each.job().service())) {
 				due.add(each);
 			}
@@ -61,7 +61,7 @@
 	 * @param asker who waits for it
 	 * @param untilMs when it is asked for all the same, on the steady clock
 	 */
-	record Held(PieceJob job, PieceAsker asker, long untilMs) {
+	record UnroutedPiece(PieceJob job, PieceListener asker, long untilMs) {
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/request/Attempt.java
+++ b/node/src/main/java/org/tallycart/node/request/Attempt.java
@@ -15,7 +15,7 @@
 import org.tallycart.http.event.CallFailure;
 import org.tallycart.http.event.HttpExchange;
 import org.tallycart.http.event.ReplyListener;
-import org.tallycart.node.crash.Cut;
+import org.tallycart.node.crash.InterruptedRequest;
 import org.tallycart.platform.http.UpstreamCodec;
 import org.tallycart.runtime.event.EventCode;
 
@@ -34,13 +34,13 @@
 	/** An error answer longer than this is not kept whole. */
 	private static final int MAX_KEPT_BYTES = 4 << 20;
 
-	private final Serving serving;
+	private final ServingContext serving;
 
 	private final RequestPlan plan;
 
 	private final UpstreamState upstream;
 
-	private final Owner owner;
+	private final Listener owner;
 
 	private final long startedMs;
 
@@ -62,13 +62,13 @@
 
 	private boolean ended;
 
-	Attempt(Serving serving, RequestPlan plan, UpstreamChoice choice, Owner owner) {
+	Attempt(ServingContext serving, RequestPlan plan, UpstreamChoice choice, Listener owner) {
 		this.serving = serving;
 		this.plan = plan;
 		this.upstream = choice.upstream();
 		this.owner = owner;
 		this.startedMs = serving.loop().nowMs();
-		this.readMs = plan.request().prompt().map(PromptCost::readMs).orElse(0.0);
+		this.readMs = plan.request().prompt().map(PromptCost::prefillMs).orElse(0.0);
 	}
 
 	void send(SendOptions options) {
@@ -86,7 +86,7 @@
 	 * Give the attempt up when the upstream is silent.
 	 * @param limit for how long
 	 */
-	void limitSilence(SilenceLimit limit) {
+	void limitSilence(IdleTimeouts limit) {
 		this.silenceMs = limit.laterMs();
 		restartSilence(limit.firstMs());
 	}
@@ -95,7 +95,7 @@
 		if (this.silence != null) {
 			this.silence.cancel(false);
 		}
-		this.silence = this.serving.loop().after(ms, this::onSilence);
+		this.silence = this.serving.loop().schedule(ms, this::onSilence);
 	}
 
 	private void onSilence() {
@@ -104,7 +104,7 @@
 				this.call.cancel();
 			}
 			this.upstream.onUnreachable(this.serving.loop().nowMs());
-			finish(new AttemptResult(AttemptResult.Kind.BROKEN, "silent"));
+			finish(new AttemptFailure(AttemptFailure.Kind.BROKEN, "silent"));
 		}
 	}
 
@@ -152,14 +152,14 @@
 		}
 		else {
 			cancel();
-			this.owner.onResult(this, new AttemptResult(AttemptResult.Kind.BROKEN, "an answer that is too long"));
+			this.owner.onResult(this, new AttemptFailure(AttemptFailure.Kind.BROKEN, "an answer that is too long"));
 		}
 	}
 
 	private void readPrompt() {
 		if (!this.promptRead) {
 			this.promptRead = true;
-			this.upstream.onPromptRead(this.readMs);
+			this.upstream.onPrefillDone(this.readMs);
 		}
 	}
 
@@ -171,7 +171,7 @@
 		}
 		if (present.notRun()) {
 			boolean inputGone = present.status() == CONFLICT;
-			finish(new AttemptResult(inputGone ? AttemptResult.Kind.INPUT_GONE : AttemptResult.Kind.NOT_RUN,
+			finish(new AttemptFailure(inputGone ? AttemptFailure.Kind.INPUT_GONE : AttemptFailure.Kind.NOT_RUN,
 					"status " + present.status()));
 		}
 		else if (streams(present)) {
@@ -181,7 +181,7 @@
 		}
 		else if (present.success() && !present.signed()) {
 			this.upstream.onError();
-			finish(new AttemptResult(AttemptResult.Kind.BROKEN, "a success without the upstream's mark"));
+			finish(new AttemptFailure(AttemptFailure.Kind.BROKEN, "a success without the upstream's mark"));
 		}
 		else {
 			onAnswer(present);
@@ -208,11 +208,11 @@
 		this.serving.log()
 			.event(EventCode.UPSTREAM_UNREACHABLE, "upstream", this.upstream.entry().id(), "failure", failure.kind(),
 					"detail", failure.detail());
-		AttemptResult.Kind kind = failure.sent() ? AttemptResult.Kind.BROKEN : AttemptResult.Kind.NOT_SENT;
-		finish(new AttemptResult(kind, failure.kind() + ": " + failure.detail()));
+		AttemptFailure.Kind kind = failure.sent() ? AttemptFailure.Kind.BROKEN : AttemptFailure.Kind.NOT_SENT;
+		finish(new AttemptFailure(kind, failure.kind() + ": " + failure.detail()));
 	}
 
-	private void finish(AttemptResult result) {
+	private void finish(AttemptFailure result) {
 		close();
 		this.owner.onResult(this, result);
 	}
@@ -247,10 +247,10 @@
 	}
 
 	// How this attempt was cut off, where it was.
-	Cut cut() {
+	InterruptedRequest cut() {
 		long answeringMs = (this.answeredFromMs > 0) ? this.serving.loop().nowMs() - this.answeredFromMs
-				: Cut.NOT_ANSWERED;
-		return new Cut(this.plan.asSuspect(this.startedMs), answeringMs);
+				: InterruptedRequest.NOT_ANSWERED;
+		return new InterruptedRequest(this.plan.asSuspect(this.startedMs), answeringMs);
 	}
 
 	long ageMs() {
@@ -258,7 +258,7 @@
 	}
 
 	/** Hears of the attempt. */
-	interface Owner {
+	interface Listener {
 
 		/**
 		 * Take the head of a stream that begins or goes on.
@@ -291,7 +291,7 @@
 		 * @param attempt the attempt
 		 * @param result how it ended
 		 */
-		void onResult(Attempt attempt, AttemptResult result);
+		void onResult(Attempt attempt, AttemptFailure result);
 
 	}
 
--- a/node/src/main/java/org/tallycart/node/request/AttemptResult.java
+++ b/node/src/main/java/org/tallycart/node/request/AttemptFailure.java
@@ -6,7 +6,7 @@
  * @param kind the kind of ending
  * @param detail a short text for the log
  */
-record AttemptResult(Kind kind, String detail) {
+record AttemptFailure(Kind kind, String detail) {
 
 	/** Kinds of ending. */
 	enum Kind {
--- a/node/src/main/java/org/tallycart/node/request/CallerHandler.java
+++ b/node/src/main/java/org/tallycart/node/request/CallerHandler.java
@@ -14,7 +14,7 @@
 import org.tallycart.http.event.RequestHandler;
 import org.tallycart.http.event.RequestLimits;
 import org.tallycart.http.event.Responder;
-import org.tallycart.node.store.ConfigInForce;
+import org.tallycart.node.store.ActiveConfig;
 import org.tallycart.platform.http.CallerCodec;
 import org.tallycart.runtime.event.EventCode;
 
@@ -31,16 +31,16 @@
 	/** When a caller may come again while no configuration is known, in milliseconds. */
 	private static final long UNCONFIGURED_RETRY_MS = 500;
 
-	private final Serving serving;
+	private final ServingContext serving;
 
-	private final ConfigInForce config;
+	private final ActiveConfig config;
 
 	/**
 	 * Create a handler.
 	 * @param serving what all requests share
 	 * @param config the configuration in force
 	 */
-	public CallerHandler(Serving serving, ConfigInForce config) {
+	public CallerHandler(ServingContext serving, ActiveConfig config) {
 		this.serving = serving;
 		this.config = config;
 	}
@@ -50,12 +50,12 @@
 		long now = this.serving.loop().nowMs();
 		Either<String, CallerRequest> request = CallerCodec.decode(head, body);
 		if (request.isLeft()) {
-			decline(responder, "", CallerAnswer.own(CallerAnswer.MALFORMED), request.getLeft());
+			decline(responder, "", CallerResponses.own(CallerResponses.MALFORMED), request.getLeft());
 			return;
 		}
 		Optional<ServingConfig> current = this.config.current();
 		if (current.isEmpty()) {
-			decline(responder, request.get().id(), CallerAnswer.notRun(UNCONFIGURED_RETRY_MS), "no configuration");
+			decline(responder, request.get().id(), CallerResponses.notRun(UNCONFIGURED_RETRY_MS), "no configuration");
 			return;
 		}
 		route(current.get(), request.get(), responder, now);
@@ -64,23 +64,23 @@
 	private void route(ServingConfig current, CallerRequest request, Responder responder, long now) {
 		Optional<Route> route = current.route(request.host(), request.path());
 		if (route.isEmpty()) {
-			decline(responder, request.id(), CallerAnswer.own(CallerAnswer.NO_ROUTE),
+			decline(responder, request.id(), CallerResponses.own(CallerResponses.NO_ROUTE),
 					"no route in version " + current.version());
 			return;
 		}
 		Optional<Workspace> workspace = request.key().flatMap(current::workspace);
 		if (current.needsKey(route.get()) && workspace.isEmpty()) {
-			decline(responder, request.id(), CallerAnswer.own(CallerAnswer.NO_KEY),
+			decline(responder, request.id(), CallerResponses.own(CallerResponses.NO_KEY),
 					"no workspace for the key in version " + current.version());
 			return;
 		}
 		long waitMs = Math.min(request.waitMs().orElse(Long.MAX_VALUE), route.get().timeoutMs());
-		String service = route.get().serviceFor(request.id().hashCode());
+		String service = route.get().selectService(request.id().hashCode());
 		RequestPlan plan = new RequestPlan(request, Fingerprint.of(request), route.get(), service, workspace, now,
 				now + waitMs);
 		this.serving.log()
 			.request(EventCode.REQUEST_ACCEPTED, request.id(), "route", route.get().name(), "version",
-					current.version(), "service", service, "wait_ms", waitMs, "rank", plan.rank().order(),
+					current.version(), "service", service, "wait_ms", waitMs, "rank", plan.rank().sortKey(),
 					"fingerprint", plan.fingerprint().shortText());
 		new RequestFlow(this.serving, plan, responder).start();
 	}
--- a/node/src/main/java/org/tallycart/node/request/CallerAnswer.java
+++ b/node/src/main/java/org/tallycart/node/request/CallerResponses.java
@@ -12,7 +12,7 @@
  * <p>
  * Thread-safe: holds no state.
  */
-final class CallerAnswer {
+final class CallerResponses {
 
 	/** The request has not run and will not; the caller may come again. */
 	static final int NOT_RUN = 503;
@@ -31,7 +31,7 @@
 
 	private static final double SECOND_MS = 1_000;
 
-	private CallerAnswer() {
+	private CallerResponses() {
 	}
 
 	static HttpResponse passed(UpstreamReply reply) {
--- a/node/src/main/java/org/tallycart/node/request/SilenceLimit.java
+++ b/node/src/main/java/org/tallycart/node/request/IdleTimeouts.java
@@ -10,7 +10,7 @@
  * @param firstMs until something of the answer comes, in milliseconds
  * @param laterMs between two parts of it, in milliseconds
  */
-record SilenceLimit(long firstMs, long laterMs) {
+record IdleTimeouts(long firstMs, long laterMs) {
 
 	/**
 	 * An idempotent call is sent again after this many times its objective without an
@@ -36,14 +36,14 @@
 	 * @param begun whether the caller has a part of the answer already
 	 * @return the limit
 	 */
-	static SilenceLimit of(Route route, boolean begun) {
+	static IdleTimeouts of(Route route, boolean begun) {
 		long objective = route.objectiveMs();
 		if (route.kind() != RequestKind.STREAMING) {
-			return new SilenceLimit(objective * PLAIN_FACTOR, objective * PLAIN_FACTOR);
+			return new IdleTimeouts(objective * PLAIN_FACTOR, objective * PLAIN_FACTOR);
 		}
 		long later = Math.max((long) (route.gapObjectiveMs() * EVENT_FACTOR), LEAST_EVENT_MS);
 		long first = Math.max((long) (objective * FIRST_EVENT_SHARE), LEAST_FIRST_EVENT_MS);
-		return new SilenceLimit(begun ? later : first, later);
+		return new IdleTimeouts(begun ? later : first, later);
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/request/RequestFlow.java
+++ b/node/src/main/java/org/tallycart/node/request/RequestFlow.java
@@ -26,7 +26,7 @@
  * again only after a send that provably did not run it. "Not run" is answered only while
  * no send may have run the request. Not thread-safe: belongs to the event loop.
  */
-final class RequestFlow implements StageWork.Owner, UpstreamPicker.Owner, Attempt.Owner {
+final class RequestFlow implements StageExecution.Listener, UpstreamPicker.Listener, Attempt.Listener {
 
 	/**
 	 * Time kept for the final answer to reach the caller before it leaves, in
@@ -49,19 +49,19 @@
 	 */
 	private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
 
-	private final Serving serving;
+	private final ServingContext serving;
 
 	private final RequestPlan plan;
 
 	private final Responder responder;
 
-	private final StageWork stages;
+	private final StageExecution stages;
 
 	private final EventSplitter events;
 
 	private final UpstreamPicker picker;
 
-	private final ReturnTimes returns;
+	private final RetryAfterPolicy returns;
 
 	private List<String> inputs = List.of();
 
@@ -83,13 +83,13 @@
 
 	private boolean finished;
 
-	RequestFlow(Serving serving, RequestPlan plan, Responder responder) {
+	RequestFlow(ServingContext serving, RequestPlan plan, Responder responder) {
 		this.serving = serving;
 		this.plan = plan;
 		this.responder = responder;
-		this.stages = new StageWork(serving, plan, this);
+		this.stages = new StageExecution(serving, plan, this);
 		this.picker = new UpstreamPicker(serving, plan, this);
-		this.returns = new ReturnTimes(serving, plan);
+		this.returns = new RetryAfterPolicy(serving, plan);
 		this.events = new EventSplitter(plan.request().lastEventId());
 	}
 
@@ -100,8 +100,8 @@
 				this.attempt.pause(paused);
 			}
 		});
-		this.end = this.serving.loop().after(this.plan.endMs() - ANSWER_MS - now(), this::onTimeOver);
-		this.serving.quarantine().enter(this.plan.fingerprint(), this.onQuarantined);
+		this.end = this.serving.loop().schedule(this.plan.endMs() - ANSWER_MS - now(), this::onTimeOver);
+		this.serving.quarantine().addInFlight(this.plan.fingerprint(), this.onQuarantined);
 		if (this.serving.quarantine().remainingMs(this.plan.fingerprint(), now()) > 0) {
 			onQuarantined();
 			return;
@@ -112,7 +112,7 @@
 		}
 		long excessMs = this.stages.expectedExcessMs(this.plan.beginsByMs());
 		if (excessMs > 0) {
-			giveUp(excessMs + ReturnTimes.BUSY_MS, "stage work is expected to be " + excessMs + " ms late");
+			giveUp(excessMs + RetryAfterPolicy.BUSY_MS, "stage work is expected to be " + excessMs + " ms late");
 			return;
 		}
 		this.stages.start();
@@ -172,7 +172,7 @@
 		}
 		this.serving.log()
 			.request(EventCode.UPSTREAM_CHOSEN, this.plan.request().id(), "upstream", upstream.entry().id(), "domain",
-					upstream.entry().failureDomain(), "cold_ms", upstream.coldMs(now()), "limit",
+					upstream.entry().failureDomain(), "cold_ms", upstream.remainingColdMs(now()), "limit",
 					this.serving.statements().limitText(upstream.entry()), "accepts_in_ms",
 					this.serving.statements().acceptsInMs(upstream.entry()), "send", this.sends, "in_flight",
 					upstream.inFlight(), "error_rate", upstream.errorRate(), "left_ms", left, "session", session(),
@@ -193,17 +193,17 @@
 		}
 		long turnInMs = this.picker.turnInMs();
 		if (turnInMs > 0) {
-			giveUp(Math.max(turnInMs, ReturnTimes.UNREACHABLE_MS), "its upstreams take no more now");
+			giveUp(Math.max(turnInMs, RetryAfterPolicy.UNREACHABLE_MS), "its upstreams take no more now");
 			return;
 		}
 		long warmInMs = this.serving.directory()
 			.candidates(this.plan.service(), now())
 			.stream()
-			.mapToLong((state) -> state.coldMs(now()))
+			.mapToLong((state) -> state.remainingColdMs(now()))
 			.min()
 			.orElse(0);
 		if (warmInMs > 0) {
-			giveUp(Math.max(warmInMs, ReturnTimes.UNREACHABLE_MS), "its upstreams are cold");
+			giveUp(Math.max(warmInMs, RetryAfterPolicy.UNREACHABLE_MS), "its upstreams are cold");
 		}
 		else {
 			giveUp("no upstream");
@@ -226,14 +226,14 @@
 		if (!this.plan.route().repeatable() || this.sends >= this.plan.route().maxAttempts()) {
 			return;
 		}
-		fresh.limitSilence(SilenceLimit.of(this.plan.route(), this.streaming));
+		fresh.limitSilence(IdleTimeouts.of(this.plan.route(), this.streaming));
 	}
 
 	@Override
 	public void onStream(UpstreamReply head) {
 		if (!this.streaming) {
 			this.streaming = true;
-			this.responder.begin(CallerAnswer.passed(head));
+			this.responder.begin(CallerResponses.passed(head));
 		}
 	}
 
@@ -274,22 +274,23 @@
 			abort("status " + head.status());
 		}
 		else if (failed && PROMISES.contains(head.status())) {
-			answer(CallerAnswer.ANSWER_LOST, "status " + head.status() + " without the statement that it has not run");
+			answer(CallerResponses.ANSWER_LOST,
+					"status " + head.status() + " without the statement that it has not run");
 		}
 		else {
-			this.responder.send(CallerAnswer.passed(head), body);
+			this.responder.send(CallerResponses.passed(head), body);
 			finish("status_" + head.status(), EventCode.REQUEST_ANSWERED, "status", head.status(), "sends", this.sends);
 		}
 	}
 
 	@Override
-	public void onResult(Attempt ended, AttemptResult result) {
+	public void onResult(Attempt ended, AttemptFailure result) {
 		logResult(ended, result.kind() + ": " + result.detail());
 		this.serving.metrics().onSendFailed(result.kind().name().toLowerCase(Locale.ROOT));
 		this.events.dropPartial();
 		this.mayHaveRun |= result.mayHaveRun();
 		if (result.mayHaveRun()) {
-			this.serving.crashes().onCut(ended.upstream().entry(), ended.cut());
+			this.serving.crashes().onInterrupted(ended.upstream().entry(), ended.cut());
 		}
 		switch (result.kind()) {
 			case NOT_SENT -> {
@@ -307,9 +308,9 @@
 		}
 	}
 
-	private void send(AttemptResult after) {
+	private void send(AttemptFailure after) {
 		boolean allowed = !after.mayHaveRun() || this.plan.route().repeatable();
-		boolean free = after.kind() == AttemptResult.Kind.NOT_SENT && this.picker.tried() <= MAX_CONNECTS;
+		boolean free = after.kind() == AttemptFailure.Kind.NOT_SENT && this.picker.tried() <= MAX_CONNECTS;
 		if (allowed && (free || mayRepeat())) {
 			send();
 		}
@@ -324,7 +325,7 @@
 		}
 		boolean granted = this.serving.budgets().tryRepeat(this.plan.service());
 		if (!granted) {
-			this.serving.metrics().onRepeatDenied();
+			this.serving.metrics().onRetryDenied();
 			this.serving.log()
 				.request(EventCode.REPEAT_DENIED, this.plan.request().id(), "service", this.plan.service());
 		}
@@ -343,10 +344,10 @@
 
 	private void giveUp(long retryAfterMs, String reason) {
 		if (this.mayHaveRun) {
-			answer(CallerAnswer.ANSWER_LOST, reason);
+			answer(CallerResponses.ANSWER_LOST, reason);
 		}
 		else {
-			answer(CallerAnswer.notRun(retryAfterMs), reason);
+			answer(CallerResponses.notRun(retryAfterMs), reason);
 		}
 	}
 
@@ -355,10 +356,10 @@
 			return;
 		}
 		if (this.mayHaveRun || this.attempt != null) {
-			answer(CallerAnswer.TIME_OVER, "time is over");
+			answer(CallerResponses.TIME_OVER, "time is over");
 		}
 		else {
-			giveUp(ReturnTimes.BUSY_MS, "time is over before it ran");
+			giveUp(RetryAfterPolicy.BUSY_MS, "time is over before it ran");
 		}
 	}
 
@@ -372,7 +373,7 @@
 	}
 
 	private void answer(int status, String reason) {
-		answer(CallerAnswer.own(status), reason);
+		answer(CallerResponses.own(status), reason);
 	}
 
 	// A stream that has begun cannot be followed by another answer: it is cut off.
@@ -392,7 +393,7 @@
 		}
 		this.finished = true;
 		this.picker.stop();
-		this.serving.quarantine().leave(this.plan.fingerprint(), this.onQuarantined);
+		this.serving.quarantine().removeInFlight(this.plan.fingerprint(), this.onQuarantined);
 		if (this.end != null) {
 			this.end.cancel(false);
 		}
--- a/node/src/main/java/org/tallycart/node/request/RequestPlan.java
+++ b/node/src/main/java/org/tallycart/node/request/RequestPlan.java
@@ -5,7 +5,7 @@
 import org.tallycart.core.crash.Fingerprint;
 import org.tallycart.core.crash.Suspect;
 import org.tallycart.core.serving.CallerRequest;
-import org.tallycart.core.serving.RequestRank;
+import org.tallycart.core.serving.RequestPriority;
 import org.tallycart.core.serving.Route;
 import org.tallycart.core.serving.Workspace;
 
@@ -32,8 +32,8 @@
 	 * Return how urgent the request is.
 	 * @return the rank
 	 */
-	public RequestRank rank() {
-		return RequestRank.of(this.workspace, this.route);
+	public RequestPriority rank() {
+		return RequestPriority.of(this.workspace, this.route);
 	}
 
 	/**
@@ -41,7 +41,7 @@
 	 * @return a time on the steady clock
 	 */
 	public long beginsByMs() {
-		return this.arrivedMs + Math.min(this.endMs - this.arrivedMs, this.route.patienceMs());
+		return this.arrivedMs + Math.min(this.endMs - this.arrivedMs, this.route.firstEventTimeoutMs());
 	}
 
 	/**
--- a/node/src/main/java/org/tallycart/node/request/ReturnTimes.java
+++ b/node/src/main/java/org/tallycart/node/request/RetryAfterPolicy.java
@@ -1,14 +1,14 @@
 package org.tallycart.node.request;
 
 import org.tallycart.core.pool.PieceOutcome;
-import org.tallycart.core.upstream.StatedAbsences;
+import org.tallycart.core.upstream.UnavailabilityRegistry;
 
 /**
  * Tells when the caller of a request that does not run may come again.
  * <p>
  * Not thread-safe: belongs to the event loop.
  */
-final class ReturnTimes {
+final class RetryAfterPolicy {
 
 	/** After its pool was too busy, in milliseconds. */
 	static final long BUSY_MS = 400;
@@ -28,11 +28,11 @@
 	 */
 	private static final int SPREAD_MS = 500;
 
-	private final Serving serving;
+	private final ServingContext serving;
 
 	private final RequestPlan plan;
 
-	ReturnTimes(Serving serving, RequestPlan plan) {
+	RetryAfterPolicy(ServingContext serving, RequestPlan plan) {
 		this.serving = serving;
 		this.plan = plan;
 	}
@@ -54,7 +54,7 @@
 		if (acceptsInMs == 0) {
 			return UNREACHABLE_MS;
 		}
-		return (acceptsInMs == StatedAbsences.NEVER) ? LEAVING_MS : afterRestMs(acceptsInMs);
+		return (acceptsInMs == UnavailabilityRegistry.NEVER) ? LEAVING_MS : afterRestMs(acceptsInMs);
 	}
 
 	/**
--- a/node/src/main/java/org/tallycart/node/request/RetryBudgets.java
+++ b/node/src/main/java/org/tallycart/node/request/RetryBudgets.java
@@ -5,8 +5,8 @@
 import java.util.function.IntSupplier;
 
 import org.tallycart.core.serving.NodeSettings;
-import org.tallycart.core.upstream.RetryWindow;
-import org.tallycart.node.Loop;
+import org.tallycart.core.upstream.WindowedRetryBudget;
+import org.tallycart.node.EventLoop;
 
 /**
  * The budgets for sending requests again, one a service.
@@ -17,13 +17,13 @@
  */
 public final class RetryBudgets {
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final IntSupplier sharingVms;
 
-	private final Map<String, RetryWindow> windows = new HashMap<>();
+	private final Map<String, WindowedRetryBudget> windows = new HashMap<>();
 
-	private NodeSettings.Bounds bounds;
+	private NodeSettings.PlatformLimits bounds;
 
 	/**
 	 * Create budgets.
@@ -31,7 +31,7 @@
 	 * @param loop the event loop
 	 * @param sharingVms how many VMs share the budgets
 	 */
-	public RetryBudgets(NodeSettings.Bounds bounds, Loop loop, IntSupplier sharingVms) {
+	public RetryBudgets(NodeSettings.PlatformLimits bounds, EventLoop loop, IntSupplier sharingVms) {
 		this.bounds = bounds;
 		this.loop = loop;
 		this.sharingVms = sharingVms;
@@ -41,7 +41,7 @@
 	 * Take new figures. What was counted so far is forgotten only where they differ.
 	 * @param fresh the figures
 	 */
-	public void update(NodeSettings.Bounds fresh) {
+	public void update(NodeSettings.PlatformLimits fresh) {
 		if (!fresh.equals(this.bounds)) {
 			this.bounds = fresh;
 			this.windows.clear();
@@ -53,11 +53,11 @@
 	}
 
 	boolean tryRepeat(String service) {
-		return window(service).tryRepeat(this.sharingVms.getAsInt(), this.loop.nowMs());
+		return window(service).tryAcquire(this.sharingVms.getAsInt(), this.loop.nowMs());
 	}
 
-	private RetryWindow window(String service) {
-		return this.windows.computeIfAbsent(service, (key) -> new RetryWindow(this.bounds.retryRatio(),
+	private WindowedRetryBudget window(String service) {
+		return this.windows.computeIfAbsent(service, (key) -> new WindowedRetryBudget(this.bounds.retryRatio(),
 				this.bounds.retryWindowMs(), this.bounds.retrySlack()));
 	}
 
