--- a/node/src/main/java/org/tallycart/node/request/Serving.java
+++ b/node/src/main/java/org/tallycart/node/request/ServingContext.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 import org.tallycart.core.crash.Quarantine;
-import org.tallycart.core.upstream.ColdLimit;
+import org.tallycart.core.upstream.ColdStartLimiter;
 import org.tallycart.core.upstream.UpstreamDirectory;
 import org.tallycart.core.upstream.UpstreamState;
 import org.tallycart.http.event.HttpClient;
-import org.tallycart.node.Loop;
-import org.tallycart.node.crash.CrashWatch;
+import org.tallycart.node.EventLoop;
+import org.tallycart.node.crash.UpstreamCrashDetector;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.node.metrics.NodeMetrics;
 import org.tallycart.node.piece.PieceService;
@@ -33,9 +33,10 @@
  * @param metrics what is counted
  * @since 0.1
  */
-public record Serving(String failureDomain, Loop loop, NodeLog log, HttpClient http, UpstreamDirectory directory,
-		ColdLimit cold, UpstreamStatements statements, PermitService permits, PieceService pieces, RetryBudgets budgets,
-		CrashWatch crashes, Quarantine quarantine, NodeMetrics metrics) {
+public record ServingContext(String failureDomain, EventLoop loop, NodeLog log, HttpClient http,
+		UpstreamDirectory directory, ColdStartLimiter cold, UpstreamStatements statements, PermitService permits,
+		PieceService pieces, RetryBudgets budgets, UpstreamCrashDetector crashes, Quarantine quarantine,
+		NodeMetrics metrics) {
 
 	/**
 	 * Return the upstreams of a service to which this VM may send a request now.
--- a/node/src/main/java/org/tallycart/node/request/StageWork.java
+++ b/node/src/main/java/org/tallycart/node/request/StageExecution.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.tallycart.core.pool.PieceAsker;
 import org.tallycart.core.pool.PieceId;
 import org.tallycart.core.pool.PieceJob;
+import org.tallycart.core.pool.PieceListener;
 import org.tallycart.core.pool.PieceOutcome;
 import org.tallycart.core.pool.StagePlan;
 import org.tallycart.core.serving.StageSpec;
@@ -23,7 +23,7 @@
  * Invariant: the owner hears once that all pieces are made, or that they cannot be, and
  * nothing after it has dropped the work. Not thread-safe: belongs to the event loop.
  */
-final class StageWork implements PieceAsker {
+final class StageExecution implements PieceListener {
 
 	/** How often all pieces may be made again after an input was gone. */
 	private static final int MAX_REMAKES = 2;
@@ -34,11 +34,11 @@
 	/** What a stage takes at least, in milliseconds: a call of one piece. */
 	private static final long LEAST_STAGE_MS = 200;
 
-	private final Serving serving;
+	private final ServingContext serving;
 
 	private final RequestPlan plan;
 
-	private final Owner owner;
+	private final Listener owner;
 
 	private final StagePlan stages;
 
@@ -50,7 +50,7 @@
 
 	private boolean dropped;
 
-	StageWork(Serving serving, RequestPlan plan, Owner owner) {
+	StageExecution(ServingContext serving, RequestPlan plan, Listener owner) {
 		this.serving = serving;
 		this.plan = plan;
 		this.owner = owner;
@@ -74,17 +74,17 @@
 	 */
 	long expectedMs() {
 		return this.stages
-			.longestMs((stage) -> this.serving.pieces().expectedMs(service(stage), this.plan.rank().order()));
+			.criticalPathMs((stage) -> this.serving.pieces().expectedMs(service(stage), this.plan.rank().sortKey()));
 	}
 
 	void start() {
 		if (this.engineDomain.isEmpty()) {
 			this.engineDomain = findEngineDomain();
 		}
-		for (int stage : this.stages.start()) {
+		for (int stage : this.stages.startReady()) {
 			ask(stage);
 		}
-		if (this.stages.complete()) {
+		if (this.stages.isComplete()) {
 			this.owner.onMade(this.stages.finalHandles());
 		}
 	}
@@ -97,22 +97,23 @@
 		String domain = inputsWeigh ? domainOf(inputs) : this.engineDomain;
 		long resultMoved = this.stages.hasReaders(stage) ? 0 : spec.resultBytes();
 		String dispatcher = "";
-		for (int piece = 0; piece < this.stages.pieces(stage); piece++) {
+		for (int piece = 0; piece < this.stages.pieceCount(stage); piece++) {
 			PieceId id = new PieceId(this.plan.request().id(), stage, piece);
 			this.waiting.add(id);
-			PieceJob job = PieceJob.of(id, spec.service())
-				.of(this.plan.fingerprint())
-				.from(this.plan.request().pieceKey(), inputs)
-				.needed(neededBy(stage), uselessFrom(stage))
-				.priority(this.plan.rank().order())
-				.wantedIn(domain, Math.max(inputBytes, resultMoved))
+			PieceJob job = PieceJob.builder(id, spec.service())
+				.fingerprint(this.plan.fingerprint())
+				.source(this.plan.request().pieceKey(), inputs)
+				.dueBy(neededBy(stage), uselessFrom(stage))
+				.priority(this.plan.rank().sortKey())
+				.preferredDomain(domain, Math.max(inputBytes, resultMoved))
 				.result(spec.resultBytes(), this.stages.hasReaders(stage))
 				.build();
 			dispatcher = this.serving.pieces().ask(job, this);
 		}
 		this.serving.log()
 			.request(EventCode.PIECES_ASKED, this.plan.request().id(), "stage", stage, "pieces",
-					this.stages.pieces(stage), "service", spec.service(), "domain", domain, "dispatcher", dispatcher);
+					this.stages.pieceCount(stage), "service", spec.service(), "domain", domain, "dispatcher",
+					dispatcher);
 	}
 
 	private String service(int stage) {
@@ -121,13 +122,13 @@
 
 	// When a stage has to be done for the request to be on time.
 	private long neededBy(int stage) {
-		return this.plan.objectiveMs() - this.stages.stagesBehind(stage) * STAGE_MS - engineMs();
+		return this.plan.objectiveMs() - this.stages.stagesAfter(stage) * STAGE_MS - engineMs();
 	}
 
 	// When a stage's results come too late for any answer: the stages behind it and the
 	// engine take at least this long.
 	private long uselessFrom(int stage) {
-		return this.plan.beginsByMs() - this.stages.stagesBehind(stage) * LEAST_STAGE_MS - engineMs();
+		return this.plan.beginsByMs() - this.stages.stagesAfter(stage) * LEAST_STAGE_MS - engineMs();
 	}
 
 	private long engineMs() {
@@ -140,7 +141,7 @@
 		for (String handle : handles) {
 			PieceCodec.maker(handle)
 				.toJavaOptional()
-				.flatMap((maker) -> this.serving.directory().at(maker))
+				.flatMap((maker) -> this.serving.directory().findByAddress(maker))
 				.ifPresent((maker) -> counts.merge(maker.entry().failureDomain(), 1, Integer::sum));
 		}
 		return counts.entrySet()
@@ -163,13 +164,13 @@
 	@Override
 	public void onInputsRead(PieceId id) {
 		if (!this.dropped && this.waiting.contains(id)) {
-			this.stages.inputsRead(id.stage(), id.piece());
+			this.stages.onInputsRead(id.stage(), id.piece());
 			releaseSpent();
 		}
 	}
 
 	private void releaseSpent() {
-		this.stages.takeSpent().forEach((stage) -> release(stage, this.stages.results(stage)));
+		this.stages.takeReleasable().forEach((stage) -> release(stage, this.stages.results(stage)));
 	}
 
 	@Override
@@ -189,7 +190,7 @@
 	}
 
 	private void onMade(PieceId id, String handle) {
-		this.stages.made(id.stage(), id.piece(), handle);
+		this.stages.onCompleted(id.stage(), id.piece(), handle);
 		releaseSpent();
 		start();
 	}
@@ -222,7 +223,7 @@
 
 	/** Gives results back that the request has read. */
 	void giveBack() {
-		this.stages.takeRest().forEach((stage) -> release(stage, this.stages.results(stage)));
+		this.stages.takeUnreleased().forEach((stage) -> release(stage, this.stages.results(stage)));
 	}
 
 	private void release(int stage, List<String> handles) {
@@ -244,7 +245,7 @@
 	}
 
 	/** Hears how the work ended. */
-	interface Owner {
+	interface Listener {
 
 		/**
 		 * Take note that all pieces are made.
--- a/node/src/main/java/org/tallycart/node/request/UpstreamPicker.java
+++ b/node/src/main/java/org/tallycart/node/request/UpstreamPicker.java
@@ -8,7 +8,7 @@
 
 import org.tallycart.core.limit.Permit;
 import org.tallycart.core.upstream.EngineChooser;
-import org.tallycart.core.upstream.PlainChooser;
+import org.tallycart.core.upstream.LeastLoadedChooser;
 import org.tallycart.core.upstream.UpstreamChoice;
 import org.tallycart.core.upstream.UpstreamState;
 import org.tallycart.node.statement.PermitService;
@@ -33,13 +33,13 @@
 	/** Longest such wait, in milliseconds; a caller that comes back later costs less. */
 	private static final long MOST_PATIENCE_MS = 1_000;
 
-	private final Serving serving;
+	private final ServingContext serving;
 
 	private final PermitService permits;
 
 	private final RequestPlan plan;
 
-	private final Owner owner;
+	private final Listener owner;
 
 	private final Set<String> tried = new HashSet<>();
 
@@ -47,7 +47,7 @@
 
 	private boolean stopped;
 
-	UpstreamPicker(Serving serving, RequestPlan plan, Owner owner) {
+	UpstreamPicker(ServingContext serving, RequestPlan plan, Listener owner) {
 		this.serving = serving;
 		this.permits = serving.permits();
 		this.plan = plan;
@@ -67,13 +67,14 @@
 	private void pickNext() {
 		List<UpstreamState> open = open();
 		long patienceMs = patienceMs(open);
-		open.removeIf((state) -> this.permits.freeInMs(state.entry()) > patienceMs);
+		open.removeIf((state) -> this.permits.nextPermitInMs(state.entry()) > patienceMs);
 		Optional<UpstreamChoice> choice = choose(open);
 		if (choice.isEmpty()) {
 			this.owner.onNonePicked();
 		}
-		else if (this.permits.limited(choice.get().upstream().entry())) {
-			this.permits.ask(choice.get().upstream().entry(), patienceMs, (permit) -> onPermit(choice.get(), permit));
+		else if (this.permits.hasLimit(choice.get().upstream().entry())) {
+			this.permits.acquire(choice.get().upstream().entry(), patienceMs,
+					(permit) -> onPermit(choice.get(), permit));
 		}
 		else {
 			take(choice.get());
@@ -89,7 +90,7 @@
 
 	// Where another upstream may get the request now, none is worth waiting for.
 	private long patienceMs(List<UpstreamState> open) {
-		if (open.stream().anyMatch((state) -> !this.permits.limited(state.entry()))) {
+		if (open.stream().anyMatch((state) -> !this.permits.hasLimit(state.entry()))) {
 			return 0;
 		}
 		long untilLateMs = Math.max(this.plan.objectiveMs() - now(), 0);
@@ -103,7 +104,7 @@
 		if (this.plan.request().prompt().isPresent()) {
 			return EngineChooser.choose(this.plan.request().prompt().get(), from, now());
 		}
-		return PlainChooser.choose(from, this.serving.failureDomain(), now());
+		return LeastLoadedChooser.choose(from, this.serving.failureDomain(), now());
 	}
 
 	private void onPermit(UpstreamChoice choice, Permit permit) {
@@ -111,7 +112,7 @@
 			deny(choice);
 		}
 		else if (permit.waitMs() > 0) {
-			this.serving.loop().after(permit.waitMs(), () -> takeIfUsable(choice));
+			this.serving.loop().schedule(permit.waitMs(), () -> takeIfUsable(choice));
 		}
 		else {
 			takeIfUsable(choice);
@@ -119,7 +120,7 @@
 	}
 
 	private void takeIfUsable(UpstreamChoice choice) {
-		if (choice.upstream().usable(now())) {
+		if (choice.upstream().isUsable(now())) {
 			take(choice);
 		}
 		else {
@@ -169,13 +170,13 @@
 	long turnInMs() {
 		return this.serving.candidates(this.plan.service())
 			.stream()
-			.mapToLong((state) -> this.permits.freeInMs(state.entry()))
+			.mapToLong((state) -> this.permits.nextPermitInMs(state.entry()))
 			.min()
 			.orElse(0);
 	}
 
 	/** Hears of what is picked. */
-	interface Owner {
+	interface Listener {
 
 		/**
 		 * Take the upstream that was picked; a permit for it is to be used at once.
--- a/node/src/main/java/org/tallycart/node/statement/PermitService.java
+++ b/node/src/main/java/org/tallycart/node/statement/PermitService.java
@@ -6,15 +6,15 @@
 import java.util.OptionalDouble;
 import java.util.function.Consumer;
 
-import org.tallycart.core.fleet.Duty;
+import org.tallycart.core.fleet.LeaderRole;
 import org.tallycart.core.limit.Permit;
-import org.tallycart.core.limit.RateGrants;
-import org.tallycart.core.pool.CallLimit;
+import org.tallycart.core.limit.UpstreamRateLimiter;
+import org.tallycart.core.pool.CallLimiter;
 import org.tallycart.core.serving.UpstreamEntry;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.metrics.NodeMetrics;
 import org.tallycart.node.peer.PeerMesh;
-import org.tallycart.node.peer.PeerMessages;
+import org.tallycart.node.peer.PeerMessageHandler;
 import org.tallycart.wire.message.Envelope;
 import org.tallycart.wire.message.LimitAnswer;
 import org.tallycart.wire.message.LimitAsk;
@@ -34,7 +34,7 @@
  *
  * @since 0.1
  */
-public final class PermitService implements PeerMessages, CallLimit {
+public final class PermitService implements PeerMessageHandler, CallLimiter {
 
 	/**
 	 * An answer that takes longer is not waited for, in milliseconds: VMs are a few
@@ -48,17 +48,17 @@
 	 */
 	private static final long UNKNOWN_MS = 100;
 
-	private final RateGrants grants = new RateGrants();
+	private final UpstreamRateLimiter grants = new UpstreamRateLimiter();
 
 	private final Map<String, Long> freeFromMs = new HashMap<>();
 
-	private final Map<Long, Pending> pending = new HashMap<>();
+	private final Map<Long, PendingRequest> pending = new HashMap<>();
 
 	private final String vm;
 
 	private final UpstreamStatements statements;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final NodeMetrics metrics;
 
@@ -73,7 +73,7 @@
 	 * @param loop the event loop
 	 * @param metrics what is counted
 	 */
-	public PermitService(String vm, UpstreamStatements statements, Loop loop, NodeMetrics metrics) {
+	public PermitService(String vm, UpstreamStatements statements, EventLoop loop, NodeMetrics metrics) {
 		this.vm = vm;
 		this.statements = statements;
 		this.loop = loop;
@@ -93,7 +93,7 @@
 	 * @param upstream the upstream
 	 * @return true if a permit is needed
 	 */
-	public boolean limited(UpstreamEntry upstream) {
+	public boolean hasLimit(UpstreamEntry upstream) {
 		return this.statements.perSecond(upstream).isPresent();
 	}
 
@@ -102,12 +102,12 @@
 	 * @param upstream the upstream
 	 * @return milliseconds; 0 if it is worth to ask now, or has no limit
 	 */
-	public long freeInMs(UpstreamEntry upstream) {
+	public long nextPermitInMs(UpstreamEntry upstream) {
 		if (this.freeFromMs.isEmpty()) {
 			return 0;
 		}
 		Long from = this.freeFromMs.get(upstream.incarnation());
-		return (from == null || !limited(upstream)) ? 0 : Math.max(from - this.loop.nowMs(), 0);
+		return (from == null || !hasLimit(upstream)) ? 0 : Math.max(from - this.loop.nowMs(), 0);
 	}
 
 	/**
@@ -116,7 +116,7 @@
 	 * @param patienceMs how long the request may wait for its turn
 	 * @param consumer takes the answer, at once or later
 	 */
-	public void ask(UpstreamEntry upstream, long patienceMs, Consumer<Permit> consumer) {
+	public void acquire(UpstreamEntry upstream, long patienceMs, Consumer<Permit> consumer) {
 		String incarnation = upstream.incarnation();
 		Consumer<Permit> asker = (permit) -> {
 			this.metrics.onPermit(permit.granted());
@@ -130,7 +130,7 @@
 			asker.accept(Permit.denied(UNKNOWN_MS));
 		}
 		else if (holder.get().equals(this.vm)) {
-			asker.accept(grant(incarnation, Duty.GRANT, patienceMs));
+			asker.accept(grant(incarnation, LeaderRole.GRANT, patienceMs));
 		}
 		else {
 			askAt(holder.get(), incarnation, patienceMs, asker);
@@ -139,43 +139,43 @@
 
 	// Empty while that is not known.
 	private Optional<String> holder() {
-		return this.mesh.filter((peers) -> peers.knownVms() > 0)
-			.filter((peers) -> peers.duties().settled(Duty.GRANT, this.loop.nowMs()))
-			.map((peers) -> peers.holder(Duty.GRANT));
+		return this.mesh.filter((peers) -> peers.knownVmCount() > 0)
+			.filter((peers) -> peers.duties().isLeaderKnown(LeaderRole.GRANT, this.loop.nowMs()))
+			.map((peers) -> peers.holder(LeaderRole.GRANT));
 	}
 
 	private void askAt(String holder, String incarnation, long patienceMs, Consumer<Permit> asker) {
 		long number = ++this.lastNumber;
-		this.pending.put(number, new Pending(holder, asker));
-		Envelope.Builder ask = StatementWire.ask(number, this.statements.encoded(incarnation), patienceMs);
+		this.pending.put(number, new PendingRequest(holder, asker));
+		Envelope.Builder ask = StatementMessageCodec.ask(number, this.statements.encoded(incarnation), patienceMs);
 		this.mesh.ifPresent((peers) -> peers.send(holder, ask));
-		this.loop.after(ANSWER_MS, () -> settle(number, Permit.denied(UNKNOWN_MS)));
+		this.loop.schedule(ANSWER_MS, () -> settle(number, Permit.denied(UNKNOWN_MS)));
 	}
 
 	private void settle(long number, Permit permit) {
-		Pending asked = this.pending.remove(number);
+		PendingRequest asked = this.pending.remove(number);
 		if (asked != null) {
 			asked.asker.accept(permit);
 		}
 	}
 
-	private Permit grant(String incarnation, Duty duty, long patienceMs) {
+	private Permit grant(String incarnation, LeaderRole duty, long patienceMs) {
 		OptionalDouble perSecond = this.statements.perSecond(incarnation);
 		if (perSecond.isEmpty()) {
 			return Permit.FREE;
 		}
-		return this.grants.take(incarnation, perSecond.getAsDouble(), share(duty), patienceMs, this.loop.nowMs());
+		return this.grants.acquire(incarnation, perSecond.getAsDouble(), share(duty), patienceMs, this.loop.nowMs());
 	}
 
-	private double share(Duty duty) {
+	private double share(LeaderRole duty) {
 		return this.mesh.map((peers) -> peers.shareOfRate(duty)).orElse(0.0);
 	}
 
 	@Override
 	public boolean mayCall(UpstreamEntry worker) {
 		OptionalDouble perSecond = this.statements.perSecond(worker);
-		return perSecond.isEmpty() || this.grants.available(worker.incarnation(), perSecond.getAsDouble(),
-				share(Duty.dispatch(worker.service())), this.loop.nowMs());
+		return perSecond.isEmpty() || this.grants.isAvailable(worker.incarnation(), perSecond.getAsDouble(),
+				share(LeaderRole.poolDispatcher(worker.service())), this.loop.nowMs());
 	}
 
 	@Override
@@ -185,7 +185,7 @@
 
 	@Override
 	public void onCall(UpstreamEntry worker) {
-		grant(worker.incarnation(), Duty.dispatch(worker.service()), 0);
+		grant(worker.incarnation(), LeaderRole.poolDispatcher(worker.service()), 0);
 	}
 
 	@Override
@@ -204,10 +204,11 @@
 		String incarnation = ask.getLimit().getIncarnation();
 		this.statements.learn(from, ask.getLimit());
 		boolean grantsHere = holder().filter(this.vm::equals).isPresent();
-		Permit permit = grantsHere ? grant(incarnation, Duty.GRANT, Integer.toUnsignedLong(ask.getPatienceMs()))
+		Permit permit = grantsHere ? grant(incarnation, LeaderRole.GRANT, Integer.toUnsignedLong(ask.getPatienceMs()))
 				: Permit.denied(UNKNOWN_MS);
-		Envelope.Builder answer = StatementWire.answer(ask.getNumber(), permit, this.statements.encoded(incarnation));
-		this.mesh.ifPresent((peers) -> peers.answer(from, answer));
+		Envelope.Builder answer = StatementMessageCodec.answer(ask.getNumber(), permit,
+				this.statements.encoded(incarnation));
+		this.mesh.ifPresent((peers) -> peers.reply(from, answer));
 	}
 
 	private void onAnswer(String from, LimitAnswer answer) {
@@ -217,7 +218,7 @@
 
 	@Override
 	public void onLost(String lost) {
-		Map<Long, Pending> asked = new HashMap<>(this.pending);
+		Map<Long, PendingRequest> asked = new HashMap<>(this.pending);
 		asked.forEach((number, each) -> {
 			if (each.holder.equals(lost)) {
 				settle(number, Permit.denied(UNKNOWN_MS));
@@ -237,7 +238,7 @@
 	 * @param holder who was asked
 	 * @param asker takes the answer
 	 */
-	private record Pending(String holder, Consumer<Permit> asker) {
+	private record PendingRequest(String holder, Consumer<Permit> asker) {
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/statement/StatementWire.java
+++ b/node/src/main/java/org/tallycart/node/statement/StatementMessageCodec.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-import org.tallycart.core.limit.NamedLimits;
 import org.tallycart.core.limit.Permit;
+import org.tallycart.core.limit.StatedLimits;
 import org.tallycart.core.time.HybridTimestamp;
 import org.tallycart.wire.message.Envelope;
 import org.tallycart.wire.message.LimitAnswer;
@@ -18,12 +18,12 @@
  * <p>
  * Thread-safe: holds no state.
  */
-final class StatementWire {
+final class StatementMessageCodec {
 
-	private StatementWire() {
+	private StatementMessageCodec() {
 	}
 
-	static Envelope.Builder notice(Map<String, NamedLimits.Named> limits, Collection<String> leaving) {
+	static Envelope.Builder notice(Map<String, StatedLimits.LimitStatement> limits, Collection<String> leaving) {
 		StatementNotice.Builder notice = StatementNotice.newBuilder().addAllLeaving(leaving);
 		limits.forEach((incarnation, named) -> notice.addLimits(encode(incarnation, named)));
 		return Envelope.newBuilder().setStatementNotice(notice);
@@ -43,7 +43,7 @@
 				.setLimit(limit));
 	}
 
-	static UpstreamLimit encode(String incarnation, NamedLimits.Named named) {
+	static UpstreamLimit encode(String incarnation, StatedLimits.LimitStatement named) {
 		return UpstreamLimit.newBuilder()
 			.setIncarnation(incarnation)
 			.setLimited(named.perSecond().isPresent())
@@ -52,10 +52,10 @@
 			.build();
 	}
 
-	static NamedLimits.Named decode(UpstreamLimit limit) {
+	static StatedLimits.LimitStatement decode(UpstreamLimit limit) {
 		OptionalDouble perSecond = limit.getLimited() ? OptionalDouble.of(limit.getPerSecond())
 				: OptionalDouble.empty();
-		return new NamedLimits.Named(perSecond, HybridTimestamp.ofPacked(limit.getSaid()));
+		return new StatedLimits.LimitStatement(perSecond, HybridTimestamp.ofPacked(limit.getSaid()));
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
+++ b/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
@@ -9,19 +9,19 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-import org.tallycart.core.fleet.Duty;
-import org.tallycart.core.limit.NamedLimits;
-import org.tallycart.core.serving.Stated;
+import org.tallycart.core.fleet.LeaderRole;
+import org.tallycart.core.limit.StatedLimits;
+import org.tallycart.core.serving.ParsedField;
 import org.tallycart.core.serving.UpstreamEntry;
 import org.tallycart.core.serving.UpstreamReply;
 import org.tallycart.core.time.HybridTimestamp;
-import org.tallycart.core.upstream.StatedAbsences;
+import org.tallycart.core.upstream.UnavailabilityRegistry;
 import org.tallycart.core.upstream.UpstreamDirectory;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.node.metrics.NodeMetrics;
-import org.tallycart.node.peer.NewsSpread;
-import org.tallycart.node.peer.PeerMessages;
+import org.tallycart.node.peer.NoticeDistributor;
+import org.tallycart.node.peer.PeerMessageHandler;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.wire.message.Envelope;
 import org.tallycart.wire.message.UpstreamLimit;
@@ -36,17 +36,17 @@
  *
  * @since 0.1
  */
-public final class UpstreamStatements implements PeerMessages {
+public final class UpstreamStatements implements PeerMessageHandler {
 
 	/** An upstream that is not the one that was meant says nothing of the one meant. */
 	private static final int MISDIRECTED = 421;
 
-	private final NamedLimits named = new NamedLimits();
+	private final StatedLimits named = new StatedLimits();
 
 	// By incarnation, what it has last said so that it cannot be read.
 	private final Map<String, Set<StatementKind>> unreadable = new HashMap<>();
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final Supplier<HybridTimestamp> clock;
 
@@ -56,9 +56,9 @@
 
 	private final UpstreamDirectory directory;
 
-	private final StatedAbsences absences;
+	private final UnavailabilityRegistry absences;
 
-	private final NewsSpread spread;
+	private final NoticeDistributor spread;
 
 	private final Runnable onDuties;
 
@@ -72,25 +72,25 @@
 	 * @param spread the way to the other VMs
 	 * @param onDuties runs after each change of the duties that matter to this VM
 	 */
-	public UpstreamStatements(Loop loop, Supplier<HybridTimestamp> clock, NodeLog log, NodeMetrics metrics,
-			UpstreamDirectory directory, NewsSpread spread, Runnable onDuties) {
+	public UpstreamStatements(EventLoop loop, Supplier<HybridTimestamp> clock, NodeLog log, NodeMetrics metrics,
+			UpstreamDirectory directory, NoticeDistributor spread, Runnable onDuties) {
 		this.loop = loop;
 		this.clock = clock;
 		this.log = log;
 		this.metrics = metrics;
 		this.directory = directory;
-		this.absences = directory.absences();
+		this.absences = directory.unavailability();
 		this.spread = spread;
 		this.onDuties = onDuties;
-		spread.onFollower(this::tellAll);
+		spread.onSubscriber(this::tellAll);
 	}
 
 	/**
 	 * Return the duties of VMs that this one may ask.
 	 * @return none while no upstream has named a limit
 	 */
-	public List<Duty> duties() {
-		return this.named.isEmpty() ? List.of() : List.of(Duty.GRANT);
+	public List<LeaderRole> duties() {
+		return this.named.isEmpty() ? List.of() : List.of(LeaderRole.GRANT);
 	}
 
 	/**
@@ -123,8 +123,8 @@
 
 	// An upstream that goes on to say what cannot be read gets no line of its own for
 	// each reply.
-	private boolean readable(UpstreamEntry upstream, StatementKind kind, Stated<?> stated) {
-		if (stated.isUnreadable()) {
+	private boolean readable(UpstreamEntry upstream, StatementKind kind, ParsedField<?> stated) {
+		if (stated.isMalformed()) {
 			this.metrics.onUnreadableStatement(kind);
 			if (this.unreadable.computeIfAbsent(upstream.incarnation(), (key) -> EnumSet.noneOf(StatementKind.class))
 				.add(kind)) {
@@ -139,52 +139,52 @@
 	}
 
 	private void onLeaving(String incarnation, String by) {
-		if (this.absences.onLeaving(incarnation, this.loop.nowMs())) {
+		if (this.absences.onDraining(incarnation, this.loop.nowMs())) {
 			this.log.event(EventCode.UPSTREAM_LEAVES, "upstream", incarnation, "by", by);
-			spread(StatementWire.notice(Map.of(), Set.of(incarnation)));
+			spread(StatementMessageCodec.notice(Map.of(), Set.of(incarnation)));
 		}
 	}
 
 	private void spread(Envelope.Builder news) {
-		this.spread.tellAbove(news.clone());
-		this.spread.tellBelow(news);
+		this.spread.sendUp(news.clone());
+		this.spread.sendDown(news);
 	}
 
 	private void onRest(UpstreamEntry upstream, long ms) {
-		if (this.absences.onRest(upstream.incarnation(), ms, this.loop.nowMs())) {
+		if (this.absences.onBackoff(upstream.incarnation(), ms, this.loop.nowMs())) {
 			this.log.event(EventCode.UPSTREAM_RESTS, "upstream", upstream.incarnation(), "ms", ms);
 		}
 	}
 
 	private void onLimit(String incarnation, OptionalDouble perSecond) {
 		if (perSecond.isPresent() || this.named.perSecond(incarnation).isPresent()) {
-			hear(incarnation, new NamedLimits.Named(perSecond, this.clock.get()), "reply");
+			hear(incarnation, new StatedLimits.LimitStatement(perSecond, this.clock.get()), "reply");
 		}
 	}
 
-	private void hear(String incarnation, NamedLimits.Named fresh, String by) {
+	private void hear(String incarnation, StatedLimits.LimitStatement fresh, String by) {
 		OptionalDouble before = this.named.perSecond(incarnation);
-		if (!this.named.hear(incarnation, fresh.perSecond(), fresh.said(), this.loop.nowMs())) {
+		if (!this.named.merge(incarnation, fresh.perSecond(), fresh.said(), this.loop.nowMs())) {
 			return;
 		}
 		this.log.event(EventCode.UPSTREAM_LIMIT_CHANGED, "upstream", incarnation, "by", by, "per_second",
 				text(fresh.perSecond()), "before", text(before));
 		this.onDuties.run();
-		spread(StatementWire.notice(Map.of(incarnation, fresh), Set.of()));
+		spread(StatementMessageCodec.notice(Map.of(incarnation, fresh), Set.of()));
 	}
 
 	private void tellAll(String follower) {
 		if (knowsNews()) {
-			this.spread.tell(follower, all());
+			this.spread.sendTo(follower, composite());
 		}
 	}
 
 	private boolean knowsNews() {
-		return !this.named.isEmpty() || !this.absences.leaving().isEmpty();
+		return !this.named.isEmpty() || !this.absences.drainingIncarnations().isEmpty();
 	}
 
-	private Envelope.Builder all() {
-		return StatementWire.notice(this.named.all(), this.absences.leaving());
+	private Envelope.Builder composite() {
+		return StatementMessageCodec.notice(this.named.snapshot(), this.absences.drainingIncarnations());
 	}
 
 	/**
@@ -203,8 +203,8 @@
 	/**
 	 * Return when an upstream takes requests from this VM, by its own word.
 	 * @param upstream the upstream
-	 * @return milliseconds; 0 if it takes them now, {@link StatedAbsences#NEVER} if it
-	 * leaves
+	 * @return milliseconds; 0 if it takes them now, {@link UnavailabilityRegistry#NEVER}
+	 * if it leaves
 	 */
 	public long acceptsInMs(UpstreamEntry upstream) {
 		return this.absences.isEmpty() ? 0 : this.absences.acceptsInMs(upstream.incarnation(), this.loop.nowMs());
@@ -225,12 +225,12 @@
 
 	// What is known of an upstream, for a message.
 	UpstreamLimit encoded(String incarnation) {
-		return StatementWire.encode(incarnation, this.named.known(incarnation));
+		return StatementMessageCodec.encode(incarnation, this.named.latest(incarnation));
 	}
 
 	// What another VM knows of an upstream.
 	void learn(String from, UpstreamLimit limit) {
-		hear(limit.getIncarnation(), StatementWire.decode(limit), from);
+		hear(limit.getIncarnation(), StatementMessageCodec.decode(limit), from);
 	}
 
 	/**
@@ -259,7 +259,7 @@
 	 * @return the count, with some that are gone
 	 */
 	public long leaving() {
-		return this.absences.leaving().size();
+		return this.absences.drainingIncarnations().size();
 	}
 
 	/**
@@ -267,7 +267,7 @@
 	 * @return the count
 	 */
 	public long resting() {
-		return this.absences.resting(this.loop.nowMs());
+		return this.absences.backoffCount(this.loop.nowMs());
 	}
 
 	/**
@@ -283,8 +283,8 @@
 		this.absences.expire(listed::contains, this.loop.nowMs());
 		boolean limited = !this.named.isEmpty();
 		this.named.expire(listed::contains, this.loop.nowMs());
-		if (knowsNews() && this.spread.takeChange()) {
-			this.spread.tellAbove(all());
+		if (knowsNews() && this.spread.takeReceiverChange()) {
+			this.spread.sendUp(composite());
 		}
 		if (limited && this.named.isEmpty()) {
 			this.onDuties.run();
@@ -294,7 +294,7 @@
 	@Override
 	public void onMessage(String from, Envelope message) {
 		if (message.hasStatementNotice()) {
-			this.spread.onTold(from);
+			this.spread.addReporter(from);
 			message.getStatementNotice().getLimitsList().forEach((limit) -> learn(from, limit));
 			message.getStatementNotice().getLeavingList().forEach((incarnation) -> onLeaving(incarnation, from));
 		}
--- a/node/src/main/java/org/tallycart/node/store/ConfigInForce.java
+++ b/node/src/main/java/org/tallycart/node/store/ActiveConfig.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-public final class ConfigInForce {
+public final class ActiveConfig {
 
 	private final NodeLog log;
 
@@ -24,7 +24,7 @@
 	 * Create a holder without a configuration.
 	 * @param log where changes are written
 	 */
-	public ConfigInForce(NodeLog log) {
+	public ActiveConfig(NodeLog log) {
 		this.log = log;
 	}
 
--- a/node/src/main/java/org/tallycart/node/store/ConfigSink.java
+++ b/node/src/main/java/org/tallycart/node/store/ConfigSink.java
@@ -16,13 +16,13 @@
  */
 final class ConfigSink implements ObjectSink {
 
-	private final ConfigInForce config;
+	private final ActiveConfig config;
 
 	private final NodeLog log;
 
 	private final Runnable onChange;
 
-	ConfigSink(ConfigInForce config, NodeLog log, Runnable onChange) {
+	ConfigSink(ActiveConfig config, NodeLog log, Runnable onChange) {
 		this.config = config;
 		this.log = log;
 		this.onChange = onChange;
--- a/node/src/main/java/org/tallycart/node/store/EvacuationSink.java
+++ b/node/src/main/java/org/tallycart/node/store/EvacuationSink.java
@@ -56,7 +56,7 @@
 	}
 
 	private void apply(Set<String> before) {
-		this.directory.evacuate(this.domains);
+		this.directory.setEvacuatedDomains(this.domains);
 		if (!before.equals(this.domains)) {
 			this.log.event(EventCode.EVACUATION_CHANGED, "domains", this.domains);
 		}
--- a/node/src/main/java/org/tallycart/node/store/FollowedKind.java
+++ b/node/src/main/java/org/tallycart/node/store/FeedReplica.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.platform.store.FeedListener;
 import org.tallycart.platform.store.ObjectChange;
@@ -31,9 +31,10 @@
  * Invariant: its point in the store's course only rises, and updates that lead to no
  * later one, or do not continue what is known, change nothing. After the store has come
  * back from an older copy, a list of the new era replaces what is known, but for what is
- * newer than the copy, see {@link OlderCopy}. Not thread-safe: belongs to the event loop.
+ * newer than the copy, see {@link RollbackOverrides}. Not thread-safe: belongs to the
+ * event loop.
  */
-final class FollowedKind implements FeedListener {
+final class FeedReplica implements FeedListener {
 
 	/**
 	 * When operators and upstreams have written again what an older copy lacks, in
@@ -51,11 +52,11 @@
 
 	private final Consumer<FeedUpdate> publisher;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final NodeLog log;
 
-	private final OlderCopy copy;
+	private final RollbackOverrides copy;
 
 	private final Map<String, StoredObject> objects = new HashMap<>();
 
@@ -69,7 +70,7 @@
 
 	private boolean lost;
 
-	FollowedKind(Feed feed, ObjectSink sink, Function<FeedListener, ObjectSource> source, Loop loop, NodeLog log,
+	FeedReplica(Feed feed, ObjectSink sink, Function<FeedListener, ObjectSource> source, EventLoop loop, NodeLog log,
 			Runnable onContact, Consumer<FeedUpdate> publisher) {
 		this.feed = feed;
 		this.source = source.apply(this);
@@ -78,7 +79,7 @@
 		this.publisher = publisher;
 		this.loop = loop;
 		this.log = log;
-		this.copy = new OlderCopy(rewrittenWithinMs(feed));
+		this.copy = new RollbackOverrides(rewrittenWithinMs(feed));
 	}
 
 	Feed feed() {
@@ -161,7 +162,7 @@
 		boolean newEra = known() && listPoint.era() > this.point.era();
 		if (newEra) {
 			this.copy.begin(this.objects, listed, this.sink::later, now);
-			this.copy.dueMs(now).ifPresent((ms) -> this.loop.after(ms, this::listIfFollowing));
+			this.copy.dueMs(now).ifPresent((ms) -> this.loop.schedule(ms, this::listIfFollowing));
 		}
 		List<StoredObject> believed = this.copy.apply(listed, now);
 		this.keptUntilMs = until(this.copy.dueMs(now));
@@ -205,7 +206,7 @@
 		this.copy.onChanges(changes);
 		takeChanges(changes, reached);
 		this.publisher
-			.accept(update(from, false).addAllObjects(changes.stream().map(FollowedKind::encode).toList()).build());
+			.accept(update(from, false).addAllObjects(changes.stream().map(FeedReplica::encode).toList()).build());
 	}
 
 	private void takeChanges(List<ObjectChange> changes, StorePoint reached) {
--- a/node/src/main/java/org/tallycart/node/store/QuarantineSink.java
+++ b/node/src/main/java/org/tallycart/node/store/QuarantineSink.java
@@ -8,7 +8,7 @@
 
 import org.tallycart.core.crash.Fingerprint;
 import org.tallycart.core.crash.Quarantine;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.platform.store.ObjectChange;
 import org.tallycart.platform.store.QuarantineRecords;
@@ -30,11 +30,11 @@
 
 	private final Quarantine quarantine;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final NodeLog log;
 
-	QuarantineSink(Quarantine quarantine, Loop loop, NodeLog log) {
+	QuarantineSink(Quarantine quarantine, EventLoop loop, NodeLog log) {
 		this.quarantine = quarantine;
 		this.loop = loop;
 		this.log = log;
@@ -88,7 +88,7 @@
 	}
 
 	private void apply() {
-		if (this.quarantine.replaceListed(this.untilMs)) {
+		if (this.quarantine.replaceStored(this.untilMs)) {
 			this.log.event(EventCode.QUARANTINE_CHANGED, "by", "store", "requests",
 					this.untilMs.keySet().stream().map(Fingerprint::shortText).toList());
 		}
--- a/node/src/main/java/org/tallycart/node/store/Known.java
+++ b/node/src/main/java/org/tallycart/node/store/ReplicatedState.java
@@ -13,5 +13,6 @@
  * @param metrics what is counted
  * @since 0.1
  */
-public record Known(ConfigInForce config, UpstreamDirectory directory, Quarantine quarantine, NodeMetrics metrics) {
+public record ReplicatedState(ActiveConfig config, UpstreamDirectory directory, Quarantine quarantine,
+		NodeMetrics metrics) {
 }
--- a/node/src/main/java/org/tallycart/node/store/OlderCopy.java
+++ b/node/src/main/java/org/tallycart/node/store/RollbackOverrides.java
@@ -22,7 +22,7 @@
  * Invariant: an object that is written in the new era is taken as it is. Not thread-safe:
  * belongs to the event loop.
  */
-final class OlderCopy {
+final class RollbackOverrides {
 
 	/**
 	 * How long it is remembered that an object has gone, in milliseconds: copies are
@@ -47,7 +47,7 @@
 	 * @param termMs how long knowledge that nobody writes again is kept, in milliseconds;
 	 * empty if as long as this process lives
 	 */
-	OlderCopy(OptionalLong termMs) {
+	RollbackOverrides(OptionalLong termMs) {
 		this.termMs = termMs;
 	}
 
--- a/node/src/main/java/org/tallycart/node/store/StoreLink.java
+++ b/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
@@ -9,17 +9,17 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-import org.tallycart.core.fleet.Duty;
-import org.tallycart.core.fleet.DutyView;
-import org.tallycart.core.fleet.SourceChooser;
+import org.tallycart.core.fleet.LeaderRole;
+import org.tallycart.core.fleet.LeaderView;
+import org.tallycart.core.fleet.StoreSourceChooser;
 import org.tallycart.core.fleet.VmRecord;
 import org.tallycart.core.ini.Address;
 import org.tallycart.core.serving.NodeSettings;
 import org.tallycart.core.upstream.UpstreamDirectory;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
-import org.tallycart.node.peer.BeatListener;
-import org.tallycart.node.peer.NewsPath;
+import org.tallycart.node.peer.DistributionTree;
+import org.tallycart.node.peer.HeartbeatHandler;
 import org.tallycart.node.peer.PeerMesh;
 import org.tallycart.platform.store.ConfigDecoder;
 import org.tallycart.platform.store.Evacuations;
@@ -39,15 +39,15 @@
 
 /**
  * Learns the configuration, the upstreams and the other VMs' records: from the platform's
- * store, or from the VM that {@link SourceChooser} names; and passes on what it learns to
- * the VMs that look to this one.
+ * store, or from the VM that {@link StoreSourceChooser} names; and passes on what it
+ * learns to the VMs that look to this one.
  * <p>
  * While the store is away, what was read last stays in force. Not thread-safe: belongs to
  * the event loop.
  *
  * @since 0.1
  */
-public final class StoreLink implements BeatListener, NewsPath {
+public final class StoreReplicator implements HeartbeatHandler, DistributionTree {
 
 	/**
 	 * Time between two readings of the other VMs' records, in milliseconds: a new VM is
@@ -65,7 +65,7 @@
 
 	/**
 	 * Time between two looks at whether the store answers, in milliseconds, while others
-	 * follow this VM; see {@link SourceChooser}.
+	 * follow this VM; see {@link StoreSourceChooser}.
 	 */
 	private static final long PROBE_FOR_OTHERS_MS = 400;
 
@@ -85,25 +85,25 @@
 
 	private final NodeSettings settings;
 
-	private final SourceChooser chooser;
+	private final StoreSourceChooser chooser;
 
 	private final Runnable onDuties;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final NodeLog log;
 
 	private final VmRecords records;
 
-	private final FollowedKind vms;
+	private final FeedReplica vms;
 
-	private final List<FollowedKind> kinds;
+	private final List<FeedReplica> kinds;
 
 	private final Subscribers subscribers = new Subscribers();
 
 	private Optional<PeerMesh> mesh = Optional.empty();
 
-	private List<Duty> duties;
+	private List<LeaderRole> duties;
 
 	private final List<Consumer<String>> onFollower = new ArrayList<>();
 
@@ -132,17 +132,17 @@
 	 * @param onChange runs after each change of it
 	 * @param onDuties runs after each change of the duties that matter to this VM
 	 */
-	public StoreLink(NodeSettings settings, ObjectClient client, Loop loop, NodeLog log, Known known, Runnable onChange,
-			Runnable onDuties) {
+	public StoreReplicator(NodeSettings settings, ObjectClient client, EventLoop loop, NodeLog log,
+			ReplicatedState known, Runnable onChange, Runnable onDuties) {
 		this.settings = settings;
-		this.chooser = new SourceChooser(settings.vm(), settings.failureDomain());
-		this.duties = List.of(Duty.follow(settings.failureDomain()));
+		this.chooser = new StoreSourceChooser(settings.vm(), settings.failureDomain());
+		this.duties = List.of(LeaderRole.domainRelay(settings.failureDomain()));
 		this.onDuties = onDuties;
 		this.loop = loop;
 		this.log = log;
 		this.records = new VmRecords(client);
 		client.onEra((from, to) -> onEra(to, "the store"));
-		this.vms = kind(Feed.VMS, new RecordSink(log, this::onRecords), (listener) -> new ObjectFeed(client,
+		this.vms = kind(Feed.VMS, new VmRecordSink(log, this::onRecords), (listener) -> new ObjectFeed(client,
 				loop.executor(), VmRecords.KIND, OptionalLong.of(RECORDS_MS), listener));
 		this.kinds = new ArrayList<>();
 		UpstreamDirectory directory = known.directory();
@@ -165,15 +165,15 @@
 		return new ObjectFeed(client, this.loop.executor(), kind, OptionalLong.empty(), listener);
 	}
 
-	private FollowedKind kind(Feed feed, ObjectSink sink, Function<FeedListener, ObjectSource> source) {
-		return new FollowedKind(feed, sink, source, this.loop, this.log, this::onContact, this::publish);
+	private FeedReplica kind(Feed feed, ObjectSink sink, Function<FeedListener, ObjectSource> source) {
+		return new FeedReplica(feed, sink, source, this.loop, this.log, this::onContact, this::publish);
 	}
 
 	/**
 	 * Return the duties of VMs that this one may be told by.
 	 * @return one or two duties
 	 */
-	public List<Duty> duties() {
+	public List<LeaderRole> duties() {
 		return this.duties;
 	}
 
@@ -189,7 +189,7 @@
 				this.settings.capacity());
 		this.own = Optional.of(record);
 		publish(record, this::onFirstPublished);
-		this.loop.every(REVIEW_MS, this::review);
+		this.loop.scheduleWithFixedDelay(REVIEW_MS, this::review);
 	}
 
 	// Tries until it is done.
@@ -200,20 +200,20 @@
 				onDone.run();
 			}
 			else {
-				this.loop.after(PUBLISH_RETRY_MS, () -> publish(own, onDone));
+				this.loop.schedule(PUBLISH_RETRY_MS, () -> publish(own, onDone));
 			}
 		});
 	}
 
 	private void onFirstPublished() {
 		this.vms.follow();
-		this.chooser.onRecorded(this.loop.nowMs());
+		this.chooser.onRecordWritten(this.loop.nowMs());
 	}
 
 	private void onRecords(Collection<VmRecord> all) {
-		this.mesh.ifPresent((peers) -> peers.know(all));
+		this.mesh.ifPresent((peers) -> peers.updateRecords(all));
 		if (this.chooser.source().isEmpty()) {
-			this.loop.later(this::review);
+			this.loop.execute(this::review);
 		}
 	}
 
@@ -221,49 +221,49 @@
 		this.mesh.ifPresent((peers) -> review(peers.duties(), this.loop.nowMs()));
 	}
 
-	private void review(DutyView view, long now) {
-		this.chooser.onFollowed(!this.subscribers.current(now).isEmpty());
-		updateDuties(this.chooser.duties(view, now));
-		boolean serving = this.kinds.stream().allMatch(FollowedKind::known);
-		SourceChooser.Step step = this.chooser.review(view, serving, this.vms.known(), now);
+	private void review(LeaderView view, long now) {
+		this.chooser.setHasSubscribers(!this.subscribers.current(now).isEmpty());
+		updateDuties(this.chooser.watchedRoles(view, now));
+		boolean serving = this.kinds.stream().allMatch(FeedReplica::known);
+		StoreSourceChooser.Action step = this.chooser.review(view, serving, this.vms.known(), now);
 		switch (step) {
-			case ASK -> this.records.probe((answered) -> onAsked(answered, now));
+			case ASK -> this.records.probe((answered) -> onRequest(answered, now));
 			case READ -> {
 				this.log.event(EventCode.STORE_FOLLOWED, "by", this.chooser.source(), "unfit",
-						this.chooser.wanted(view, now));
-				this.kinds.forEach(FollowedKind::follow);
+						this.chooser.preferredSource(view, now));
+				this.kinds.forEach(FeedReplica::follow);
 			}
 			case FOLLOW -> {
 				this.log.event(EventCode.STORE_FOLLOWED, "by", this.chooser.source());
-				this.kinds.forEach(FollowedKind::stopFollowing);
+				this.kinds.forEach(FeedReplica::stopFollowing);
 			}
 			case STAY -> {
 				// The usual case: the source is as good as it was.
 			}
 		}
-		if (following()) {
+		if (readsStore()) {
 			probeIfDue(now);
 		}
-		if (this.askedInVain && this.chooser.told()) {
+		if (this.askedInVain && this.chooser.hasFreshSource()) {
 			this.askedInVain = false;
-			this.kinds.forEach(FollowedKind::onTold);
+			this.kinds.forEach(FeedReplica::onTold);
 		}
 	}
 
 	// Entries that vanish while nobody tells this VM what the store says are not trusted.
-	private void onAsked(boolean answered, long sentMs) {
+	private void onRequest(boolean answered, long sentMs) {
 		if (answered) {
-			this.chooser.onStoreAnswered(sentMs);
+			this.chooser.onProbeSuccess(sentMs);
 			review();
 		}
-		else if (!following()) {
+		else if (!readsStore()) {
 			this.askedInVain = true;
-			this.chooser.onStoreSilent();
-			this.kinds.forEach(FollowedKind::onSilent);
+			this.chooser.onProbeFailure();
+			this.kinds.forEach(FeedReplica::onSilent);
 		}
 	}
 
-	private void updateDuties(List<Duty> fresh) {
+	private void updateDuties(List<LeaderRole> fresh) {
 		if (!fresh.equals(this.duties)) {
 			this.duties = fresh;
 			this.onDuties.run();
@@ -281,41 +281,41 @@
 
 	private void onProbed(boolean answered, long sentMs) {
 		if (answered) {
-			this.chooser.onContact(sentMs);
-			if (this.missed && following()) {
-				this.kinds.forEach(FollowedKind::follow);
+			this.chooser.onStoreRead(sentMs);
+			if (this.missed && readsStore()) {
+				this.kinds.forEach(FeedReplica::follow);
 			}
 		}
 		this.missed = !answered;
 	}
 
 	private void onContact() {
-		this.chooser.onContact(this.loop.nowMs());
+		this.chooser.onStoreRead(this.loop.nowMs());
 	}
 
 	private void publish(FeedUpdate update) {
-		tellFollowers(Envelope.newBuilder().setFeedUpdate(update).build());
+		sendToSubscribers(Envelope.newBuilder().setFeedUpdate(update).build());
 	}
 
 	@Override
-	public void tellFollowers(Envelope message) {
+	public void sendToSubscribers(Envelope message) {
 		this.mesh.ifPresent((peers) -> this.subscribers.current(this.loop.nowMs())
-			.forEach((vm) -> peers.answer(vm, message.toBuilder())));
+			.forEach((vm) -> peers.reply(vm, message.toBuilder())));
 	}
 
 	@Override
-	public void onFollower(Consumer<String> listener) {
+	public void onSubscriber(Consumer<String> listener) {
 		this.onFollower.add(listener);
 	}
 
 	@Override
-	public String reader() {
-		return this.mesh.map((peers) -> peers.holder(Duty.READ)).orElse(this.settings.vm());
+	public String storeReader() {
+		return this.mesh.map((peers) -> peers.holder(LeaderRole.READ)).orElse(this.settings.vm());
 	}
 
 	@Override
 	public Set<String> relays() {
-		return this.mesh.map((peers) -> peers.firstForNews(RELAYS)).orElse(Set.of());
+		return this.mesh.map((peers) -> peers.preferredSources(RELAYS)).orElse(Set.of());
 	}
 
 	@Override
@@ -324,21 +324,21 @@
 	}
 
 	@Override
-	public void onAsking(String vm, NodeBeat.Builder question) {
-		if (!following() && wanted().equals(vm)) {
+	public void prepareRequest(String vm, NodeBeat.Builder question) {
+		if (!readsStore() && wanted().equals(vm)) {
 			question.setSubscribes(true);
 			this.kinds.forEach((kind) -> question.addKnown(kind.question()));
 		}
 	}
 
 	private String wanted() {
-		return this.mesh.map((peers) -> this.chooser.wanted(peers.duties(), this.loop.nowMs())).orElse("");
+		return this.mesh.map((peers) -> this.chooser.preferredSource(peers.duties(), this.loop.nowMs())).orElse("");
 	}
 
 	@Override
-	public void onAsked(String vm, NodeBeat question, NodeBeat.Builder answer) {
+	public void onRequest(String vm, NodeBeat question, NodeBeat.Builder answer) {
 		long now = this.loop.nowMs();
-		if (this.chooser.passesOn(now)) {
+		if (this.chooser.canRelay(now)) {
 			answer.setPassesOn(true).setStoreAgeMs((int) this.chooser.storeAgeMs(now));
 		}
 		if (question.getSubscribes()) {
@@ -350,21 +350,21 @@
 	}
 
 	private void sendMissing(String vm, FeedRevision known, long now) {
-		for (FollowedKind kind : this.kinds) {
+		for (FeedReplica kind : this.kinds) {
 			if (kind.lackedBy(known) && this.subscribers.sendWhole(vm, kind.feed(), now)) {
-				this.mesh.ifPresent((peers) -> peers.answer(vm, Envelope.newBuilder().setFeedUpdate(kind.whole())));
+				this.mesh.ifPresent((peers) -> peers.reply(vm, Envelope.newBuilder().setFeedUpdate(kind.whole())));
 			}
 		}
 	}
 
 	@Override
-	public void onAnswered(String vm, NodeBeat answer) {
+	public void onReply(String vm, NodeBeat answer) {
 		this.chooser.onAnswer(vm, answer.getPassesOn(), Integer.toUnsignedLong(answer.getStoreAgeMs()),
 				this.loop.nowMs());
 	}
 
 	@Override
-	public void onUpdate(FeedUpdate update) {
+	public void onFeedUpdate(FeedUpdate update) {
 		onEra(update.getEra(), "a VM that passes it on");
 		this.kinds.stream().filter((kind) -> kind.feed() == update.getFeed()).forEach((kind) -> kind.onUpdate(update));
 	}
@@ -377,7 +377,7 @@
 			return;
 		}
 		this.log.event(EventCode.STORE_ERA_CHANGED, "from", this.era, "to", to, "by", by);
-		boolean first = this.kinds.stream().noneMatch(FollowedKind::known);
+		boolean first = this.kinds.stream().noneMatch(FeedReplica::known);
 		this.era = to;
 		if (first) {
 			return;
@@ -387,8 +387,8 @@
 			this.own.ifPresent((record) -> publish(record, () -> {
 			}));
 		}
-		if (following()) {
-			this.loop.later(() -> this.kinds.forEach((kind) -> kind.followSince(to)));
+		if (readsStore()) {
+			this.loop.execute(() -> this.kinds.forEach((kind) -> kind.followSince(to)));
 		}
 	}
 
@@ -414,7 +414,7 @@
 	 * @return the count
 	 */
 	public long keptAgainstCopy() {
-		return this.kinds.stream().mapToLong(FollowedKind::kept).sum();
+		return this.kinds.stream().mapToLong(FeedReplica::kept).sum();
 	}
 
 	/**
@@ -423,12 +423,12 @@
 	 * @return true if the store cannot be reached
 	 */
 	public boolean missed() {
-		return following() && this.missed;
+		return readsStore() && this.missed;
 	}
 
 	@Override
-	public boolean following() {
-		return this.chooser.reading();
+	public boolean readsStore() {
+		return this.chooser.isReadingStore();
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/store/UpstreamSink.java
+++ b/node/src/main/java/org/tallycart/node/store/UpstreamSink.java
@@ -11,7 +11,7 @@
 import org.jspecify.annotations.Nullable;
 import org.tallycart.core.serving.UpstreamEntry;
 import org.tallycart.core.upstream.UpstreamDirectory;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.node.metrics.NodeMetrics;
 import org.tallycart.platform.store.EntryProblem;
@@ -36,7 +36,7 @@
 
 	private final UpstreamDirectory directory;
 
-	private final Loop loop;
+	private final EventLoop loop;
 
 	private final NodeLog log;
 
@@ -47,7 +47,7 @@
 	// Entries that name no upstream to use, and why.
 	private final Map<String, EntryProblem> unreadable = new HashMap<>();
 
-	UpstreamSink(UpstreamDirectory directory, Loop loop, NodeLog log, NodeMetrics metrics, Runnable onChange) {
+	UpstreamSink(UpstreamDirectory directory, EventLoop loop, NodeLog log, NodeMetrics metrics, Runnable onChange) {
 		this.directory = directory;
 		this.loop = loop;
 		this.log = log;
@@ -66,7 +66,7 @@
 				.peekLeft((problem) -> this.unreadable.put(object.name(), problem));
 		}
 		Set<String> before = this.directory.ids();
-		this.unreadable.keySet().forEach(this.directory::discard);
+		this.unreadable.keySet().forEach(this.directory::removeInvalid);
 		this.directory.replace(entries, this.loop.nowMs());
 		this.unreadable.forEach((name, problem) -> tellUnreadable(name, former.get(name), problem));
 		listed(entries.stream().filter((entry) -> !before.contains(entry.id())).toList());
@@ -89,12 +89,12 @@
 		}
 		UpstreamDecoder.decode(object).peek((entry) -> {
 			this.unreadable.remove(entry.id());
-			if (this.directory.entry(entry.id()).map(entry::newsAfter).orElse(true)) {
+			if (this.directory.entry(entry.id()).map(entry::isChangedFrom).orElse(true)) {
 				listed(entry);
 			}
 			this.directory.put(entry, this.loop.nowMs());
 		}).peekLeft((problem) -> {
-			this.directory.discard(object.name());
+			this.directory.removeInvalid(object.name());
 			tellUnreadable(object.name(), this.unreadable.put(object.name(), problem), problem);
 		});
 	}
@@ -136,12 +136,12 @@
 
 	@Override
 	public long untrustedMs() {
-		return this.directory.untrustedMs(this.loop.nowMs());
+		return this.directory.remainingGraceMs(this.loop.nowMs());
 	}
 
 	@Override
 	public void distrust(long ms) {
-		this.directory.distrustUntil(this.loop.nowMs() + ms);
+		this.directory.extendGraceUntil(this.loop.nowMs() + ms);
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/store/RecordSink.java
+++ b/node/src/main/java/org/tallycart/node/store/VmRecordSink.java
@@ -18,7 +18,7 @@
  * <p>
  * Not thread-safe: belongs to the event loop.
  */
-final class RecordSink implements ObjectSink {
+final class VmRecordSink implements ObjectSink {
 
 	private final Map<String, VmRecord> records = new HashMap<>();
 
@@ -26,7 +26,7 @@
 
 	private final Consumer<Collection<VmRecord>> onRecords;
 
-	RecordSink(NodeLog log, Consumer<Collection<VmRecord>> onRecords) {
+	VmRecordSink(NodeLog log, Consumer<Collection<VmRecord>> onRecords) {
 		this.log = log;
 		this.onRecords = onRecords;
 	}
--- a/node/src/test/java/org/tallycart/node/AbstractNodeTests.java
+++ b/node/src/test/java/org/tallycart/node/AbstractNodeTests.java
@@ -107,7 +107,7 @@
 	NodeSettings settings(String vm) {
 		Address any = new Address("127.0.0.1", 0);
 		return new NodeSettings(vm, "127.0.0.1", "d", any, any, 0, 750, this.store.address(),
-				new NodeSettings.Bounds(4_000, 0.2, 10_000, 50), true);
+				new NodeSettings.PlatformLimits(4_000, 0.2, 10_000, 50), true);
 	}
 
 	static void await(BooleanSupplier condition) {
--- a/node/src/test/java/org/tallycart/node/OrdersAndEntriesTests.java
+++ b/node/src/test/java/org/tallycart/node/EvacuationAndInvalidEntryTests.java
@@ -14,7 +14,7 @@
  * Tests for what operators order, and what others write, in the platform's store: what it
  * means for requests and pieces at every VM.
  */
-public class OrdersAndEntriesTests extends AbstractNodeTests {
+public class EvacuationAndInvalidEntryTests extends AbstractNodeTests {
 
 	private static final String STAGES = GENERATION + "X-Tallycart-Pieces: 3,4\r\nX-Tallycart-Piece-Key: k\r\n";
 
--- a/node/src/test/java/org/tallycart/node/LoopTests.java
+++ b/node/src/test/java/org/tallycart/node/EventLoopTests.java
@@ -16,9 +16,9 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for {@link Loop}.
+ * Tests for {@link EventLoop}.
  */
-public class LoopTests {
+public class EventLoopTests {
 
 	private static final int WAIT_S = 15;
 
@@ -32,10 +32,10 @@
 	@Test
 	void aRepeatedTaskThatFailsIsReportedAndRunsAgain() throws InterruptedException {
 		List<EventCode> reported = new CopyOnWriteArrayList<>();
-		Loop loop = new Loop(this.executor, Guard.install((code, detail) -> reported.add(code)));
+		EventLoop loop = new EventLoop(this.executor, Guard.install((code, detail) -> reported.add(code)));
 		CountDownLatch runs = new CountDownLatch(2);
 
-		loop.every(1, () -> {
+		loop.scheduleWithFixedDelay(1, () -> {
 			runs.countDown();
 			throw new IllegalStateException("broken");
 		});
--- a/node/src/test/java/org/tallycart/node/NodePathTests.java
+++ b/node/src/test/java/org/tallycart/node/NodeEndToEndTests.java
@@ -18,7 +18,7 @@
 /**
  * Tests for the whole path: callers, two VMs, a store and upstreams, on real sockets.
  */
-public class NodePathTests extends AbstractNodeTests {
+public class NodeEndToEndTests extends AbstractNodeTests {
 
 	@Override
 	int vms() {
--- a/node/src/test/java/org/tallycart/node/StoreFollowingTests.java
+++ b/node/src/test/java/org/tallycart/node/StoreReplicationTests.java
@@ -12,7 +12,7 @@
 /**
  * Tests for following the store through one VM of a failure domain.
  */
-public class StoreFollowingTests extends AbstractNodeTests {
+public class StoreReplicationTests extends AbstractNodeTests {
 
 	private static final String KIND = "config";
 
@@ -27,7 +27,7 @@
 	}
 
 	private long followers() {
-		return this.nodes.stream().filter(StoreFollowingTests::follows).count();
+		return this.nodes.stream().filter(StoreReplicationTests::follows).count();
 	}
 
 	private static boolean follows(Node node) {
@@ -66,7 +66,7 @@
 
 	@Test
 	void changesGoOnWhenTheVmThatReadsThemIsLost() {
-		Node reader = this.nodes.stream().filter(StoreFollowingTests::follows).findFirst().orElseThrow();
+		Node reader = this.nodes.stream().filter(StoreReplicationTests::follows).findFirst().orElseThrow();
 		reader.close();
 		this.nodes.remove(reader);
 		change(9, "/fresh/");
@@ -93,7 +93,7 @@
 	@Test
 	void inAnOutageAllAskForTheStoreByTheCheapestCallAndAfterItOneReadsForAll() {
 		this.store.setDown(true);
-		List<Double> before = this.nodes.stream().map(StoreFollowingTests::asked).toList();
+		List<Double> before = this.nodes.stream().map(StoreReplicationTests::asked).toList();
 		for (int i = 0; i < this.nodes.size(); i++) {
 			int vm = i;
 			await(() -> asked(this.nodes.get(vm)) >= before.get(vm) + 3);
@@ -115,7 +115,7 @@
 	/** Pattern: entries lapse in an outage in which the VM that reads is lost. */
 	@Test
 	void entriesThatLapsedInAnOutageAreKeptByVmsThatOnlyAsked() {
-		Node reader = this.nodes.stream().filter(StoreFollowingTests::follows).findFirst().orElseThrow();
+		Node reader = this.nodes.stream().filter(StoreReplicationTests::follows).findFirst().orElseThrow();
 		this.store.setDown(true);
 		Node other = this.nodes.stream().filter((node) -> node != reader).findFirst().orElseThrow();
 		double before = asked(other);
--- a/node/src/test/java/org/tallycart/node/UpstreamAbsenceTests.java
+++ b/node/src/test/java/org/tallycart/node/UpstreamUnavailabilityTests.java
@@ -29,7 +29,7 @@
  * callers, or nowhere, unread. Proof: it comes about with the store at hand as without
  * it, at engines, plain services and pools alike, and no send is a repeat or had waited.
  */
-public class UpstreamAbsenceTests extends AbstractNodeTests {
+public class UpstreamUnavailabilityTests extends AbstractNodeTests {
 
 	/** After which a leaving upstream gets nothing new, in milliseconds. */
 	private static final long DRAIN_MS = 2_000;
--- a/node/src/test/java/org/tallycart/node/piece/PoolDriversTests.java
+++ b/node/src/test/java/org/tallycart/node/piece/PoolDriversTests.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 import io.netty.channel.embedded.EmbeddedChannel;
-import org.tallycart.core.pool.CallLimit;
+import org.tallycart.core.pool.CallLimiter;
 import org.tallycart.core.pool.PieceId;
 import org.tallycart.core.pool.PieceJob;
 import org.tallycart.core.pool.PieceOutcome;
@@ -16,10 +16,10 @@
 import org.tallycart.core.serving.ServingConfig;
 import org.tallycart.core.upstream.UpstreamDirectory;
 import org.tallycart.http.event.HttpClient;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.node.metrics.NodeMetrics;
-import org.tallycart.node.store.ConfigInForce;
+import org.tallycart.node.store.ActiveConfig;
 import org.tallycart.runtime.process.Guard;
 import org.testng.annotations.Test;
 
@@ -38,18 +38,21 @@
 	@Test
 	void piecesWaitUntilTheWorkersAreKnown() {
 		EmbeddedChannel channel = new EmbeddedChannel();
-		Loop loop = new Loop(channel.eventLoop(), Guard.install((code, detail) -> {
+		EventLoop loop = new EventLoop(channel.eventLoop(), Guard.install((code, detail) -> {
 			throw new IllegalStateException(detail);
 		}), () -> 0);
 		NodeLog log = new NodeLog(() -> 0);
 		UpstreamDirectory directory = new UpstreamDirectory();
 		HttpClient http = HttpClient.create(channel.eventLoop(), () -> 0);
-		HandleReturns returns = new HandleReturns(http, loop, directory);
+		ResultReleaser returns = new ResultReleaser(http, loop, directory);
 		PoolDrivers drivers = new PoolDrivers(
-				new PoolParts(http, loop, log, returns, null, null, CallLimit.NONE, new NodeMetrics()), config(log),
+				new PoolContext(http, loop, log, returns, null, null, CallLimiter.NONE, new NodeMetrics()), config(log),
 				directory);
 		List<PieceOutcome> heard = new ArrayList<>();
-		PieceJob job = PieceJob.of(new PieceId("r", 0, 0), POOL).from("k", List.of()).needed(3_000, 5_000).build();
+		PieceJob job = PieceJob.builder(new PieceId("r", 0, 0), POOL)
+			.source("k", List.of())
+			.dueBy(3_000, 5_000)
+			.build();
 		drivers.driver(POOL).orElseThrow().ask(job, (id, outcome) -> heard.add(outcome));
 		channel.runPendingTasks();
 		assertEquals(heard, List.of());
@@ -60,8 +63,8 @@
 		channel.close();
 	}
 
-	private static ConfigInForce config(NodeLog log) {
-		ConfigInForce config = new ConfigInForce(log);
+	private static ActiveConfig config(NodeLog log) {
+		ActiveConfig config = new ActiveConfig(log);
 		ServiceSpec service = new ServiceSpec(POOL, 10, Optional.of(SPEC), false, 0);
 		config.offer(new ServingConfig(1, List.of(), Map.of(POOL, service), CallerLimits.BEFORE_CONFIGURATION, Map.of(),
 				false));
--- a/node/src/test/java/org/tallycart/node/store/FollowedKindTests.java
+++ b/node/src/test/java/org/tallycart/node/store/FeedReplicaTests.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 import io.netty.channel.embedded.EmbeddedChannel;
-import org.tallycart.node.Loop;
+import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.platform.store.FeedListener;
 import org.tallycart.platform.store.ObjectChange;
@@ -36,7 +36,7 @@
  * before, and had nothing later to tell. Cause: two VMs at the same point of the store's
  * course were taken to believe the same.
  */
-public class FollowedKindTests {
+public class FeedReplicaTests {
 
 	/** When what a copy lacks has been written again, in milliseconds. */
 	private static final long REWRITTEN_MS = 2_200;
@@ -151,14 +151,14 @@
 
 		private final Set<String> names = new TreeSet<>();
 
-		private final FollowedKind kind;
+		private final FeedReplica kind;
 
 		private Vm() {
-			NodeLog log = new NodeLog(() -> FollowedKindTests.this.nowMs);
-			Loop loop = new Loop(FollowedKindTests.this.channel.eventLoop(), Guard.install((code, detail) -> {
+			NodeLog log = new NodeLog(() -> FeedReplicaTests.this.nowMs);
+			EventLoop loop = new EventLoop(FeedReplicaTests.this.channel.eventLoop(), Guard.install((code, detail) -> {
 				throw new IllegalStateException(detail);
-			}), () -> FollowedKindTests.this.nowMs);
-			this.kind = new FollowedKind(Feed.UPSTREAMS, new Sink(this.names), Source::new, loop, log, () -> {
+			}), () -> FeedReplicaTests.this.nowMs);
+			this.kind = new FeedReplica(Feed.UPSTREAMS, new Sink(this.names), Source::new, loop, log, () -> {
 			}, (FeedUpdate update) -> {
 			});
 		}
@@ -180,8 +180,8 @@
 
 		@Override
 		public void renew() {
-			this.listener.onList(new ArrayList<>(FollowedKindTests.this.store.values()),
-					FollowedKindTests.this.storePoint);
+			this.listener.onList(new ArrayList<>(FeedReplicaTests.this.store.values()),
+					FeedReplicaTests.this.storePoint);
 		}
 
 		@Override
--- a/node/src/test/java/org/tallycart/node/store/OlderCopyTests.java
+++ b/node/src/test/java/org/tallycart/node/store/RollbackOverridesTests.java
@@ -15,7 +15,7 @@
 /**
  * Tests for what is known and newer than the copy from which the store has come back.
  */
-public class OlderCopyTests {
+public class RollbackOverridesTests {
 
 	private static final long TERM_MS = 2_000;
 
@@ -23,11 +23,11 @@
 
 	private static final StoredObject LATER = object("a", 9, "later");
 
-	private OlderCopy copy = new OlderCopy(OptionalLong.of(TERM_MS));
+	private RollbackOverrides copy = new RollbackOverrides(OptionalLong.of(TERM_MS));
 
 	@BeforeMethod
 	void begin() {
-		this.copy = new OlderCopy(OptionalLong.of(TERM_MS));
+		this.copy = new RollbackOverrides(OptionalLong.of(TERM_MS));
 	}
 
 	private static StoredObject object(String name, long revision, String content) {
@@ -82,7 +82,7 @@
 
 	@Test
 	void withoutATermItIsKeptForGood() {
-		this.copy = new OlderCopy(OptionalLong.empty());
+		this.copy = new RollbackOverrides(OptionalLong.empty());
 		assertEquals(back(Map.of("a", LATER), List.of(EARLIER)), List.of(LATER));
 		assertEquals(this.copy.apply(List.of(EARLIER), 1_000_000), List.of(LATER));
 		assertEquals(this.copy.dueMs(0), OptionalLong.empty());
--- a/runtime/src/main/java/org/tallycart/runtime/settings/LogSettings.java
+++ b/runtime/src/main/java/org/tallycart/runtime/settings/LogSettings.java
@@ -24,9 +24,9 @@
 	 */
 	public static LogSettings read(SettingsFile file, List<Problem> problems) {
 		SectionReader reader = file.section("log", problems);
-		LogSettings settings = new LogSettings(reader.word("format", LogFormat.class, LogFormat.TEXT),
-				reader.word("level", LogLevel.class, LogLevel.INFO));
-		reader.finish();
+		LogSettings settings = new LogSettings(reader.enumValue("format", LogFormat.class, LogFormat.TEXT),
+				reader.enumValue("level", LogLevel.class, LogLevel.INFO));
+		reader.reportUnknownKeys();
 		return settings;
 	}
 
--- a/runtime/src/main/java/org/tallycart/runtime/settings/SettingsFile.java
+++ b/runtime/src/main/java/org/tallycart/runtime/settings/SettingsFile.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 
+import org.tallycart.core.ini.IniParser;
 import org.tallycart.core.ini.IniSection;
-import org.tallycart.core.ini.IniText;
 import org.tallycart.core.ini.Problem;
 import org.tallycart.core.ini.SectionReader;
 
@@ -42,7 +42,7 @@
 	 */
 	public static SettingsFile read(Path path, List<Problem> problems) {
 		try {
-			return new SettingsFile(path.toString(), IniText.read(path.toString(), Files.readString(path), problems));
+			return new SettingsFile(path.toString(), IniParser.read(path.toString(), Files.readString(path), problems));
 		}
 		catch (IOException ex) {
 			problems.add(new Problem(path.toString(), 0, 0, "cannot be read: " + ex, ""));
--- a/runtime/src/main/java/org/tallycart/runtime/settings/VmSettings.java
+++ b/runtime/src/main/java/org/tallycart/runtime/settings/VmSettings.java
@@ -26,7 +26,7 @@
 		if (settings.id().contains(" ")) {
 			reader.problem("id", "holds a blank", "");
 		}
-		reader.finish();
+		reader.reportUnknownKeys();
 		return settings;
 	}
 
--- a/runtime/src/test/java/org/tallycart/runtime/process/GuardTests.java
+++ b/runtime/src/test/java/org/tallycart/runtime/process/GuardTests.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 import org.tallycart.core.outcome.InvariantViolation;
-import org.tallycart.core.outcome.UnexpectedError;
+import org.tallycart.core.outcome.UncaughtErrorReporter;
 import org.tallycart.runtime.event.EventCode;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -30,7 +30,7 @@
 
 	@Test
 	void aBrokenInvariantEndsTheProcessAfterItIsReported() {
-		this.guard.wrap("test", () -> InvariantViolation.unless(false, "broken")).run();
+		this.guard.wrap("test", () -> InvariantViolation.check(false, "broken")).run();
 
 		assertEquals(this.reported, List.of(EventCode.INVARIANT_BROKEN));
 		assertEquals(this.halts, List.of(ExitCode.INVARIANT_BROKEN));
@@ -38,7 +38,7 @@
 
 	@Test
 	void anErrorThatALibraryCaughtReachesTheThreadsHandler() throws InterruptedException {
-		Thread thread = new Thread(() -> UnexpectedError.report(new IllegalStateException("caught")));
+		Thread thread = new Thread(() -> UncaughtErrorReporter.report(new IllegalStateException("caught")));
 		thread.setUncaughtExceptionHandler((where, error) -> this.guard.onError("test", error));
 		thread.start();
 		thread.join();
--- a/standin/src/main/java/org/tallycart/standin/StandinMain.java
+++ b/standin/src/main/java/org/tallycart/standin/StandinMain.java
@@ -11,8 +11,8 @@
 import org.apache.hc.core5.http.io.HttpRequestHandler;
 import org.jspecify.annotations.Nullable;
 import org.tallycart.core.ini.Address;
+import org.tallycart.core.ini.IniParser;
 import org.tallycart.core.ini.IniSection;
-import org.tallycart.core.ini.IniText;
 import org.tallycart.core.ini.Problem;
 import org.tallycart.core.ini.SectionReader;
 import org.tallycart.http.HttpListener;
@@ -57,12 +57,12 @@
 	public Integer call() throws Exception {
 		Path file = Objects.requireNonNull(this.config);
 		List<Problem> problems = new ArrayList<>();
-		List<IniSection> sections = IniText.read(file.toString(), Files.readString(file), problems);
+		List<IniSection> sections = IniParser.read(file.toString(), Files.readString(file), problems);
 		StringBuilder started = new StringBuilder("STARTED");
 		for (IniSection section : sections) {
 			SectionReader reader = SectionReader.of(section, problems);
 			UpstreamShape shape = shape(section, reader);
-			reader.finish();
+			reader.reportUnknownKeys();
 			if (!problems.isEmpty()) {
 				problems.forEach((problem) -> System.err.println(problem));
 				return ExitCode.USAGE;
--- a/steward/src/main/java/org/tallycart/steward/ClaimMessages.java
+++ b/steward/src/main/java/org/tallycart/steward/ClaimMessages.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 import com.google.protobuf.ByteString;
+import org.tallycart.core.claim.ClaimHolder;
 import org.tallycart.core.claim.ClaimRecord;
 import org.tallycart.core.claim.ClaimReply;
-import org.tallycart.core.claim.Holder;
 import org.tallycart.core.claim.IdempotencyKey;
 import org.tallycart.core.claim.SlotHandover;
 import org.tallycart.wire.message.ClaimAnswer;
@@ -27,8 +27,8 @@
 	private ClaimMessages() {
 	}
 
-	static Holder holder(Claimant claimant) {
-		return new Holder(claimant.getVm(), claimant.getAttemptId());
+	static ClaimHolder holder(Claimant claimant) {
+		return new ClaimHolder(claimant.getVm(), claimant.getAttemptId());
 	}
 
 	static ClaimAnswer answer(ClaimReply reply) {
@@ -44,7 +44,7 @@
 		return answer.build();
 	}
 
-	private static Claimant claimant(Holder holder) {
+	private static Claimant claimant(ClaimHolder holder) {
 		return Claimant.newBuilder().setVm(holder.vm()).setAttemptId(holder.attemptId()).build();
 	}
 
--- a/steward/src/main/java/org/tallycart/steward/FleetState.java
+++ b/steward/src/main/java/org/tallycart/steward/FleetState.java
@@ -17,7 +17,6 @@
 import org.tallycart.core.replication.Digest;
 import org.tallycart.core.replication.Manifest;
 import org.tallycart.core.replication.VersionedRegister;
-import org.tallycart.core.replication.VersionedRegister.Acceptance;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.runtime.event.EventLog;
 
@@ -80,7 +79,7 @@
 		if (version > register.version() && !readable(name, version, value)) {
 			return false;
 		}
-		Acceptance acceptance = register.offer(version, value);
+		VersionedRegister.OfferResult acceptance = register.offer(version, value);
 		String detail = name + " version=" + version + " known=" + register.version() + " from=" + source;
 		switch (acceptance) {
 			case APPLIED -> applied(name, version, value, detail);
@@ -90,7 +89,7 @@
 				// The value is known already.
 			}
 		}
-		return acceptance == Acceptance.APPLIED;
+		return acceptance == VersionedRegister.OfferResult.APPLIED;
 	}
 
 	private boolean readable(String name, long version, byte[] value) {
@@ -127,7 +126,7 @@
 	}
 
 	private void adoptManifest(Manifest next) {
-		InvariantViolation.unless(next.version() > this.manifest.version(), "the configuration's version fell");
+		InvariantViolation.check(next.version() > this.manifest.version(), "the configuration's version fell");
 		this.manifest = next;
 		if (this.pending != null && this.pending.manifest.version() <= next.version()) {
 			this.pending = null;
@@ -203,7 +202,7 @@
 	}
 
 	VersionedRegister register(String name) {
-		return InvariantViolation.present(this.registers.get(name), "no register " + name);
+		return InvariantViolation.requirePresent(this.registers.get(name), "no register " + name);
 	}
 
 	byte @Nullable [] blob(String digest) {
--- a/steward/src/main/java/org/tallycart/steward/Peers.java
+++ b/steward/src/main/java/org/tallycart/steward/Peers.java
@@ -66,7 +66,7 @@
 		if (known != null && news.incarnation() > known.incarnation()) {
 			this.events.emit(EventCode.PEER_RESTARTED, news.vm() + " incarnation=" + news.incarnation());
 		}
-		this.table.hear(news);
+		this.table.update(news);
 	}
 
 	/**
--- a/steward/src/main/java/org/tallycart/steward/PlatformLink.java
+++ b/steward/src/main/java/org/tallycart/steward/PlatformLink.java
@@ -77,7 +77,7 @@
 	 * Read what is due. Called at each poll interval.
 	 */
 	void tick() {
-		boolean watcher = WatcherSelection.watches(this.settings.vm().id(), this.settings.vm().domain(),
+		boolean watcher = WatcherSelection.isWatcher(this.settings.vm().id(), this.settings.vm().domain(),
 				this.state.vms());
 		long nowMs = Clocks.SYSTEM.monotonicMs();
 		if (watcher && this.watching.compareAndSet(false, true)) {
--- a/steward/src/main/java/org/tallycart/steward/ShareKeeper.java
+++ b/steward/src/main/java/org/tallycart/steward/ShareKeeper.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-import org.tallycart.core.limit.ShareHome;
+import org.tallycart.core.limit.ShareAllocator;
 import org.tallycart.core.limit.ShareRequest;
 import org.tallycart.core.membership.RendezvousHash;
 import org.tallycart.runtime.process.Clocks;
@@ -86,9 +86,10 @@
 		long nowMs = Clocks.SYSTEM.monotonicMs();
 		ShareAnswer.Builder answer = ShareAnswer.newBuilder();
 		for (ShareDemand demand : report.getDemandsList()) {
-			Home home = this.homes.computeIfAbsent(demand.getWorkspace(), (key) -> new Home(ShareHome.create(nowMs)));
+			Home home = this.homes.computeIfAbsent(demand.getWorkspace(),
+					(key) -> new Home(ShareAllocator.create(nowMs)));
 			home.usedMs = nowMs;
-			double rate = home.shares.grant(new ShareRequest(demand.getWorkspace(), vm, demand.getDemandPerSecond(),
+			double rate = home.shares.allocate(new ShareRequest(demand.getWorkspace(), vm, demand.getDemandPerSecond(),
 					demand.getHoldsPerSecond()), demand.getLimitPerSecond(), nowMs);
 			answer.addGrants(ShareGrant.newBuilder().setWorkspace(demand.getWorkspace()).setRatePerSecond(rate));
 		}
@@ -102,11 +103,11 @@
 
 	private static final class Home {
 
-		private final ShareHome shares;
+		private final ShareAllocator shares;
 
 		private long usedMs;
 
-		private Home(ShareHome shares) {
+		private Home(ShareAllocator shares) {
 			this.shares = shares;
 		}
 
--- a/steward/src/main/java/org/tallycart/steward/SlotKeeper.java
+++ b/steward/src/main/java/org/tallycart/steward/SlotKeeper.java
@@ -11,9 +11,9 @@
 
 import io.vavr.control.Either;
 import org.jspecify.annotations.Nullable;
+import org.tallycart.core.claim.ClaimHolder;
 import org.tallycart.core.claim.ClaimReply;
 import org.tallycart.core.claim.ClaimTable;
-import org.tallycart.core.claim.Holder;
 import org.tallycart.core.claim.IdempotencyKey;
 import org.tallycart.core.claim.SlotHandover;
 import org.tallycart.core.claim.SlotMap;
@@ -92,7 +92,7 @@
 	 */
 	void adopt() {
 		if (this.state.register(RegisterName.SLOTS).version() > 0) {
-			this.claims.adopt(this.state.slots(), Clocks.SYSTEM.wallMs());
+			this.claims.applySlotMap(this.state.slots(), Clocks.SYSTEM.wallMs());
 		}
 	}
 
@@ -225,7 +225,7 @@
 		SlotOwner wanted = change.next().owner(slot);
 		SlotOwner present = this.state.slots().owner(slot);
 		return wanted != null && present != null && present.term() >= wanted.term()
-				&& (present.equals(wanted) || !present.is(this.identity.vm(), this.identity.incarnation()));
+				&& (present.equals(wanted) || !present.matches(this.identity.vm(), this.identity.incarnation()));
 	}
 
 	private void abandon(SlotChange change) {
@@ -241,9 +241,9 @@
 		if (key.isLeft()) {
 			return ClaimAnswer.newBuilder().setStatus(ClaimAnswer.Status.NOT_OWNER).build();
 		}
-		Holder asker = ClaimMessages.holder(call.getClaimant());
+		ClaimHolder asker = ClaimMessages.holder(call.getClaimant());
 		ClaimReply reply = this.claims.claim(key.get(), asker, call.getKnownTerm(), Clocks.SYSTEM.wallMs());
-		this.events.emit(EventCode.CLAIM_ANSWERED, SubmissionId.requestOf(asker.attemptId()),
+		this.events.emit(EventCode.CLAIM_ANSWERED, SubmissionId.requestIdOf(asker.attemptId()),
 				call.getKey() + " " + reply.status());
 		return ClaimMessages.answer(reply);
 	}
--- a/steward/src/main/java/org/tallycart/steward/SpreadMeasurement.java
+++ b/steward/src/main/java/org/tallycart/steward/SpreadMeasurement.java
@@ -22,7 +22,7 @@
 import org.tallycart.core.membership.WatcherSelection;
 import org.tallycart.core.replication.Digest;
 import org.tallycart.core.replication.Manifest;
-import org.tallycart.core.replication.PartName;
+import org.tallycart.core.replication.ManifestParts;
 import org.tallycart.core.time.HybridClock;
 import org.tallycart.runtime.event.EventLog;
 import org.tallycart.runtime.process.Clocks;
@@ -112,7 +112,7 @@
 		Config second = Config.of(first.manifest, workspaces, 1);
 		long changedMs = this.nowMs;
 		for (Member member : this.members) {
-			if (WatcherSelection.watches(member.vm.id(), member.vm.domain(), list)) {
+			if (WatcherSelection.isWatcher(member.vm.id(), member.vm.domain(), list)) {
 				schedule(this.random.nextInt((int) LATENCY_MS + 1), () -> {
 					second.offerTo(member.state);
 					member.gossip.round();
@@ -225,7 +225,7 @@
 			for (int i = 0; i < workspaces; i++) {
 				String name = "workspace shop-" + i;
 				int weight = (i == 0) ? 1 + change : 1;
-				texts.computeIfAbsent(PartName.of(name), (key) -> new StringBuilder())
+				texts.computeIfAbsent(ManifestParts.partOf(name), (key) -> new StringBuilder())
 					.append("[" + name + "]\nrequests-per-second = 20\nweight = " + weight + "\n\n");
 			}
 			Map<String, byte[]> parts = new HashMap<>();
--- a/steward/src/main/java/org/tallycart/steward/StewardSettings.java
+++ b/steward/src/main/java/org/tallycart/steward/StewardSettings.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-import org.tallycart.core.claim.KeyWindow;
+import org.tallycart.core.claim.IdempotencyKeyWindow;
 import org.tallycart.core.ini.Address;
 import org.tallycart.core.ini.Problem;
 import org.tallycart.core.ini.SectionReader;
@@ -31,7 +31,7 @@
  */
 record StewardSettings(VmSettings vm, Address peerListen, List<Address> seeds, long heartbeatMs, int fanout,
 		Address statusListen, Address platform, long platformTimeoutMs, long watchWaitMs, long pollMs,
-		long backgroundMs, KeyWindow window, int slotCount, long drainMs) {
+		long backgroundMs, IdempotencyKeyWindow window, int slotCount, long drainMs) {
 
 	private static final long SECOND = 1_000;
 
@@ -53,10 +53,10 @@
 				platform.durationMs("watch-wait", 5 * SECOND, 100, MINUTE),
 				platform.durationMs("poll-interval", SECOND, 50, MINUTE),
 				platform.durationMs("background-interval", MINUTE, SECOND, HOUR),
-				new KeyWindow(claims.durationMs("retention", 10 * MINUTE, SECOND, 24 * HOUR),
+				new IdempotencyKeyWindow(claims.durationMs("retention", 10 * MINUTE, SECOND, 24 * HOUR),
 						claims.durationMs("clock-skew", SECOND, 1, MINUTE)),
 				(int) claims.number("slots", 64, 1, 16_384), drain.durationMs("timeout", 15 * SECOND, 0, HOUR));
-		List.of(peer, status, platform, claims, drain).forEach(SectionReader::finish);
+		List.of(peer, status, platform, claims, drain).forEach(SectionReader::reportUnknownKeys);
 		return settings;
 	}
 
--- a/testbed/src/main/java/org/tallycart/testbed/CoreMeasurement.java
+++ b/testbed/src/main/java/org/tallycart/testbed/CoreMeasurement.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import java.util.UUID;
 
+import org.tallycart.core.claim.ClaimHolder;
 import org.tallycart.core.claim.ClaimTable;
-import org.tallycart.core.claim.Holder;
 import org.tallycart.core.claim.IdempotencyKey;
-import org.tallycart.core.claim.KeyWindow;
+import org.tallycart.core.claim.IdempotencyKeyWindow;
 import org.tallycart.core.claim.SlotMap;
 import org.tallycart.core.declaration.BalancerKind;
 import org.tallycart.core.declaration.DeclarationReader;
@@ -21,7 +21,7 @@
 import org.tallycart.core.declaration.StageKind;
 import org.tallycart.core.declaration.Upstream;
 import org.tallycart.core.ini.Address;
-import org.tallycart.core.ini.IniText;
+import org.tallycart.core.ini.IniParser;
 import org.tallycart.core.policy.Policy;
 import org.tallycart.core.policy.RequestFacts;
 import org.tallycart.core.policy.UpstreamFacts;
@@ -88,12 +88,12 @@
 				UUID uuid = new UUID((CREATED + i / 100 << 16) | 0x7000, random.nextLong());
 				keys.add(IdempotencyKey.parse(uuid.toString()).get());
 			}
-			ClaimTable table = ClaimTable.create("vm", 1, new KeyWindow(600_000, 1_000));
-			table.adopt(SlotMap.empty(1).assign(List.of(0), "vm", 1, false), CREATED);
+			ClaimTable table = ClaimTable.create("vm", 1, new IdempotencyKeyWindow(600_000, 1_000));
+			table.applySlotMap(SlotMap.empty(1).assign(List.of(0), "vm", 1, false), CREATED);
 			long before = usedBytes();
 			long began = cpuNs();
 			for (int i = 0; i < count; i++) {
-				table.claim(keys.get(i), new Holder("vm-7", "attempt-" + i), 1, CREATED + i / 100);
+				table.claim(keys.get(i), new ClaimHolder("vm-7", "attempt-" + i), 1, CREATED + i / 100);
 			}
 			best = Math.min(best, (cpuNs() - began) / count);
 			bytes = (usedBytes() - before) / count;
@@ -130,7 +130,7 @@
 		for (int round = 0; round < WARM_UP; round++) {
 			long before = usedBytes();
 			long began = cpuNs();
-			Object read = DeclarationReader.read(IniText.read("all.ini", text.toString(), new ArrayList<>()),
+			Object read = DeclarationReader.read(IniParser.read("all.ini", text.toString(), new ArrayList<>()),
 					(section, source) -> List.of());
 			best = Math.min(best, cpuNs() - began);
 			kept = usedBytes() - before;
@@ -145,9 +145,9 @@
 			upstreams.add(new Upstream("u" + i, new Address("10.0.0.1", 1 + i), "lac", 8));
 		}
 		UpstreamTable table = UpstreamTable.create("vm", "lac", count);
-		table
-			.adopt(List.of(new Service("s", StageKind.ENCODE, "", "", 1, 0, BalancerKind.TWO_CHOICES_AGED, upstreams)));
-		TwoChoicesBalancer balancer = TwoChoicesBalancer.aged(1_000);
+		table.update(
+				List.of(new Service("s", StageKind.ENCODE, "", "", 1, 0, BalancerKind.TWO_CHOICES_AGED, upstreams)));
+		TwoChoicesBalancer balancer = TwoChoicesBalancer.withAgeDiscount(1_000);
 		Random random = new Random(1);
 		int decisions = 2_000_000 / count;
 		long best = Long.MAX_VALUE;
--- a/wire/src/main/java/org/tallycart/wire/WireClient.java
+++ b/wire/src/main/java/org/tallycart/wire/WireClient.java
@@ -19,7 +19,7 @@
 import io.vavr.control.Either;
 import org.jspecify.annotations.Nullable;
 import org.tallycart.core.ini.Address;
-import org.tallycart.core.outcome.UnexpectedError;
+import org.tallycart.core.outcome.UncaughtErrorReporter;
 import org.tallycart.wire.message.Envelope;
 
 /**
@@ -202,7 +202,7 @@
 
 		@Override
 		public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-			UnexpectedError.report(cause);
+			UncaughtErrorReporter.report(cause);
 			context.close();
 		}
 
--- a/wire/src/main/java/org/tallycart/wire/WireServer.java
+++ b/wire/src/main/java/org/tallycart/wire/WireServer.java
@@ -15,7 +15,7 @@
 import io.netty.util.concurrent.GlobalEventExecutor;
 import io.vavr.control.Either;
 import org.tallycart.core.ini.Address;
-import org.tallycart.core.outcome.UnexpectedError;
+import org.tallycart.core.outcome.UncaughtErrorReporter;
 import org.tallycart.wire.message.Envelope;
 
 /**
@@ -92,7 +92,7 @@
 
 		@Override
 		public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-			UnexpectedError.report(cause);
+			UncaughtErrorReporter.report(cause);
 			context.close();
 		}
 
