--- a/core/src/main/java/org/tallycart/core/crash/CrashingRequestDetector.java
+++ b/core/src/main/java/org/tallycart/core/crash/CrashingRequestDetector.java
@@ -34,7 +34,7 @@
 public final class CrashingRequestDetector {
 
 	/** How long a request waits for a word that it was answered, in milliseconds. */
-	public static final long CONFIRM_MS = 200;
+	public static final long CONFIRMATION_DELAY_MS = 200;
 
 	/** Ends one after the other that name a request; the users allow for three. */
 	private static final int MIN_ENDS = 3;
@@ -109,7 +109,7 @@
 		}
 		List<Fingerprint> fresh = new ArrayList<>();
 		for (Fingerprint suspect : end.sentMs.keySet()) {
-			if (accused(suspect) && this.dueMs.putIfAbsent(suspect, nowMs + CONFIRM_MS) == null) {
+			if (accused(suspect) && this.dueMs.putIfAbsent(suspect, nowMs + CONFIRMATION_DELAY_MS) == null) {
 				fresh.add(suspect);
 			}
 		}
--- a/core/src/main/java/org/tallycart/core/crash/Quarantine.java
+++ b/core/src/main/java/org/tallycart/core/crash/Quarantine.java
@@ -24,7 +24,7 @@
 	 * by a release of their software, which takes longer; so at most three upstreams end
 	 * in ten minutes.
 	 */
-	public static final long TERM_MS = 600_000;
+	public static final long DURATION_MS = 600_000;
 
 	private final Map<Fingerprint, Long> untilMs = new HashMap<>();
 
--- a/core/src/main/java/org/tallycart/core/membership/PeerTable.java
+++ b/core/src/main/java/org/tallycart/core/membership/PeerTable.java
@@ -44,7 +44,7 @@
 		}
 		boolean drains = news.draining()
 				|| (known != null && known.incarnation() == news.incarnation() && known.draining());
-		long heardMs = (known != null) ? Math.max(known.heardMs(), news.heardMs()) : news.heardMs();
+		long heardMs = (known != null) ? Math.max(known.lastHeardMs(), news.lastHeardMs()) : news.lastHeardMs();
 		this.peers.put(news.vm(), new Peer(news.vm(), news.incarnation(), drains, heardMs));
 		return true;
 	}
@@ -75,7 +75,7 @@
 	public List<String> active(long nowMs, long withinMs) {
 		List<String> vms = new ArrayList<>();
 		for (Peer peer : this.peers.values()) {
-			if (!peer.draining() && nowMs - peer.heardMs() <= withinMs) {
+			if (!peer.draining() && nowMs - peer.lastHeardMs() <= withinMs) {
 				vms.add(peer.vm());
 			}
 		}
--- a/core/src/main/java/org/tallycart/core/pool/BatchSelector.java
+++ b/core/src/main/java/org/tallycart/core/pool/BatchSelector.java
@@ -70,7 +70,7 @@
 		List<PendingPiece> chosen = new ArrayList<>();
 		Set<PendingPiece> seen = new HashSet<>();
 		List<List<PendingPiece>> left = new ArrayList<>();
-		long roomLeft = this.spec.roomBytes() - this.room.taken(worker.entry().incarnation());
+		long roomLeft = this.spec.resultMemoryBytes() - this.room.taken(worker.entry().incarnation());
 		this.leftToOthers.clear();
 		Map<StageKey, List<PendingPiece>> groups = groups(queue);
 		for (PendingPiece first : queue) {
--- a/core/src/main/java/org/tallycart/core/pool/StagePlan.java
+++ b/core/src/main/java/org/tallycart/core/pool/StagePlan.java
@@ -63,7 +63,7 @@
 
 	private void startAll(List<Integer> ready, boolean held) {
 		for (int i = 0; i < this.stages.size(); i++) {
-			boolean inputsMade = this.stages.get(i).after().stream().allMatch(this::isComplete);
+			boolean inputsMade = this.stages.get(i).dependsOn().stream().allMatch(this::isComplete);
 			if (!this.started[i] && inputsMade && held == canWait(i) && (!held || othersStarted(i))) {
 				this.started[i] = true;
 				if (this.handles[i].length > 0) {
@@ -87,7 +87,7 @@
 	}
 
 	private boolean isFinal(int number) {
-		return this.stages.stream().noneMatch((stage) -> stage.after().contains(number));
+		return this.stages.stream().noneMatch((stage) -> stage.dependsOn().contains(number));
 	}
 
 	/**
@@ -106,7 +106,7 @@
 	 */
 	public long inputBytes(int stage) {
 		long sum = 0;
-		for (int before : this.stages.get(stage).after()) {
+		for (int before : this.stages.get(stage).dependsOn()) {
 			sum += this.handles[before].length * this.stages.get(before).resultBytes();
 		}
 		return sum;
@@ -129,7 +129,7 @@
 	public int stagesAfter(int stage) {
 		int longest = 0;
 		for (int i = 0; i < this.stages.size(); i++) {
-			if (this.stages.get(i).after().contains(stage) && this.handles[i].length > 0) {
+			if (this.stages.get(i).dependsOn().contains(stage) && this.handles[i].length > 0) {
 				longest = Math.max(longest, 1 + stagesAfter(i));
 			}
 		}
@@ -152,7 +152,7 @@
 
 	private long criticalPathMs(int last, IntToLongFunction stageMs) {
 		long before = 0;
-		for (int input : this.stages.get(last).after()) {
+		for (int input : this.stages.get(last).dependsOn()) {
 			before = Math.max(before, criticalPathMs(input, stageMs));
 		}
 		return before + ((this.handles[last].length > 0) ? stageMs.applyAsLong(last) : 0);
@@ -164,7 +164,7 @@
 	 * @return handles of all pieces of the stages before it; empty if there are none
 	 */
 	public List<String> inputs(int stage) {
-		return handlesOf(this.stages.get(stage).after());
+		return handlesOf(this.stages.get(stage).dependsOn());
 	}
 
 	/**
@@ -249,7 +249,7 @@
 	private boolean followersRead(int number) {
 		boolean followed = false;
 		for (int i = 0; i < this.stages.size(); i++) {
-			if (this.stages.get(i).after().contains(number)) {
+			if (this.stages.get(i).dependsOn().contains(number)) {
 				followed = true;
 				if (!read(i)) {
 					return false;
--- a/core/src/main/java/org/tallycart/core/serving/CallerLimits.java
+++ b/core/src/main/java/org/tallycart/core/serving/CallerLimits.java
@@ -12,6 +12,6 @@
 public record CallerLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
 
 	/** In force while no configuration is known. */
-	public static final CallerLimits BEFORE_CONFIGURATION = new CallerLimits(16 * 1024, 4 << 20, 3_000, 15_000);
+	public static final CallerLimits DEFAULTS = new CallerLimits(16 * 1024, 4 << 20, 3_000, 15_000);
 
 }
--- a/core/src/main/java/org/tallycart/core/serving/NodeSettings.java
+++ b/core/src/main/java/org/tallycart/core/serving/NodeSettings.java
@@ -15,12 +15,13 @@
  * @param peerPort where other VMs are accepted; the same on all VMs
  * @param capacity the VM's processor time, in thousandths of a core
  * @param store the platform's store
- * @param bounds figures to be kept
- * @param evacuations whether operators may order that nothing be sent to a failure domain
+ * @param platformLimits figures to be kept
+ * @param evacuationsEnabled whether operators may order that nothing be sent to a failure
+ * domain
  * @since 0.1
  */
 public record NodeSettings(String vm, String ip, String failureDomain, Address callers, Address readiness, int peerPort,
-		int capacity, Address store, PlatformLimits bounds, boolean evacuations) {
+		int capacity, Address store, PlatformLimits platformLimits, boolean evacuationsEnabled) {
 
 	/**
 	 * Figures that the operators of the platform set.
--- a/core/src/main/java/org/tallycart/core/serving/PoolSpec.java
+++ b/core/src/main/java/org/tallycart/core/serving/PoolSpec.java
@@ -8,11 +8,11 @@
  * @param batch pieces in one call, at most
  * @param callMs what a call costs whatever it holds, in milliseconds
  * @param pieceMs what a piece adds, in milliseconds; differs somewhat by stage
- * @param roomBytes room for results, in bytes
+ * @param resultMemoryBytes room for results, in bytes
  * @param handleTtlMs how long a result is kept, in milliseconds
  * @since 0.1
  */
-public record PoolSpec(int slots, int queue, int batch, double callMs, double pieceMs, long roomBytes,
+public record PoolSpec(int slots, int queue, int batch, double callMs, double pieceMs, long resultMemoryBytes,
 		long handleTtlMs) {
 
 	/**
--- a/core/src/main/java/org/tallycart/core/serving/Route.java
+++ b/core/src/main/java/org/tallycart/core/serving/Route.java
@@ -17,13 +17,13 @@
  * @param priority its rank; 0 is the most urgent
  * @param maxAttempts how many upstreams one request may be sent to
  * @param stages the work that comes first, by number
- * @param open whether it needs no key
+ * @param publicAccess whether it needs no key
  * @param resumable whether a broken stream may go on at another upstream
  * @since 0.1
  */
 public record Route(String name, String host, String pathPrefix, RequestKind kind, List<ServiceShare> shares,
 		long timeoutMs, long objectiveMs, long gapObjectiveMs, int priority, int maxAttempts, List<StageSpec> stages,
-		boolean open, boolean resumable) {
+		boolean publicAccess, boolean resumable) {
 
 	/**
 	 * Callers wait at least this long for the first event of a stream, in milliseconds.
--- a/core/src/main/java/org/tallycart/core/serving/ServingConfig.java
+++ b/core/src/main/java/org/tallycart/core/serving/ServingConfig.java
@@ -113,7 +113,7 @@
 	 * @return true if it does
 	 */
 	public boolean needsKey(Route route) {
-		return this.keysNeeded && !route.open();
+		return this.keysNeeded && !route.publicAccess();
 	}
 
 	/**
--- a/core/src/main/java/org/tallycart/core/serving/UpstreamReply.java
+++ b/core/src/main/java/org/tallycart/core/serving/UpstreamReply.java
@@ -9,19 +9,19 @@
  * @param status the status
  * @param requestId the request it answers, if it says so
  * @param notRun whether the upstream states that it did not run the request
- * @param signed whether it carries the upstream's mark, which a success needs
+ * @param stamped whether it carries the upstream's mark, which a success needs
  * @param load what the upstream said of its load
- * @param perSecond the requests a second that the upstream takes from all VMs together,
- * for as long as its replies say so; where they say nothing it takes what comes
- * @param leaves whether the upstream says that it leaves; said once, it holds for good
- * @param restMs for how long the upstream wants no requests from this VM, in milliseconds
- * from its reply
+ * @param maxRequestsPerSecond the requests a second that the upstream takes from all VMs
+ * together, for as long as its replies say so; where they say nothing it takes what comes
+ * @param draining whether the upstream says that it leaves; said once, it holds for good
+ * @param retryAfterMs for how long the upstream wants no requests from this VM, in
+ * milliseconds from its reply
  * @param fields fields that a caller gets as they are
  * @since 0.1
  */
-public record UpstreamReply(int status, Optional<String> requestId, boolean notRun, boolean signed,
-		Optional<LoadReport> load, ParsedField<Double> perSecond, ParsedField<Boolean> leaves, ParsedField<Long> restMs,
-		List<HeaderField> fields) {
+public record UpstreamReply(int status, Optional<String> requestId, boolean notRun, boolean stamped,
+		Optional<LoadReport> load, ParsedField<Double> maxRequestsPerSecond, ParsedField<Boolean> draining,
+		ParsedField<Long> retryAfterMs, List<HeaderField> fields) {
 
 	/**
 	 * Return whether the reply is a success.
--- a/core/src/test/java/org/tallycart/core/crash/CrashingFleetSimulation.java
+++ b/core/src/test/java/org/tallycart/core/crash/CrashingFleetSimulation.java
@@ -135,7 +135,7 @@
 	private void report(CrashReport report) {
 		this.ledger.onReport(report, this.now)
 			.forEach((suspect) -> after(NEWS_MS, () -> ask(suspect, this.ledger.firstCrashMs(suspect, this.now))));
-		after(CrashingRequestDetector.CONFIRM_MS, () -> {
+		after(CrashingRequestDetector.CONFIRMATION_DELAY_MS, () -> {
 			List<Fingerprint> found = this.ledger.takeConfirmed(this.now);
 			after(NEWS_MS, () -> keepAway(found));
 		});
--- a/core/src/test/java/org/tallycart/core/crash/CrashingRequestDetectorTests.java
+++ b/core/src/test/java/org/tallycart/core/crash/CrashingRequestDetectorTests.java
@@ -30,7 +30,7 @@
 	}
 
 	private static List<Fingerprint> found(CrashingRequestDetector of, long atMs) {
-		return of.takeConfirmed(atMs + CrashingRequestDetector.CONFIRM_MS);
+		return of.takeConfirmed(atMs + CrashingRequestDetector.CONFIRMATION_DELAY_MS);
 	}
 
 	@Test
--- a/core/src/test/java/org/tallycart/core/pool/model/PoolSimulation.java
+++ b/core/src/test/java/org/tallycart/core/pool/model/PoolSimulation.java
@@ -309,7 +309,7 @@
 				return PieceOutcome.notCompleted(PieceOutcome.Status.INPUT_GONE);
 			}
 			long taken = this.bytes.values().stream().mapToLong(Long::longValue).sum();
-			if (taken + job.resultBytes() > this.spec.roomBytes()) {
+			if (taken + job.resultBytes() > this.spec.resultMemoryBytes()) {
 				return PieceOutcome.notCompleted(PieceOutcome.Status.NO_ROOM);
 			}
 			String handle = job.service() + "/" + job.id().requestId() + "/" + job.id().stage() + "/"
--- a/core/src/test/java/org/tallycart/core/serving/ServingConfigTests.java
+++ b/core/src/test/java/org/tallycart/core/serving/ServingConfigTests.java
@@ -27,7 +27,7 @@
 			List.of(route("/", RequestKind.IDEMPOTENT, false, false),
 					route("/a/", RequestKind.NON_IDEMPOTENT, true, false),
 					route("/a/b/", RequestKind.STREAMING, false, true)),
-			Map.of(), CallerLimits.BEFORE_CONFIGURATION, Map.of("key", new Workspace("w", Optional.of(1))), true);
+			Map.of(), CallerLimits.DEFAULTS, Map.of("key", new Workspace("w", Optional.of(1))), true);
 
 	@DataProvider
 	static Object[][] paths() {
--- a/node/src/main/java/org/tallycart/node/Node.java
+++ b/node/src/main/java/org/tallycart/node/Node.java
@@ -152,7 +152,7 @@
 		this.mesh = new PeerMesh(settings.vm(), this.transport, this.loop, this.log,
 				PeerMessageHandler.composite(List.of(this.pieces, this.crashNews, this.statements, this.permits)),
 				this.store);
-		this.budgets = new RetryBudgets(settings.bounds(), this.loop, this::vmsSharingBudgets);
+		this.budgets = new RetryBudgets(settings.platformLimits(), this.loop, this::vmsSharingBudgets);
 		this.cold = new ColdStartLimiter(settings.vm(), this.mesh::vms, this::coldPerSecond);
 		ServingContext serving = new ServingContext(settings.failureDomain(), this.loop, this.log, this.http,
 				this.directory, this.cold, this.statements, this.permits, this.pieces, this.budgets, crashes,
@@ -191,7 +191,7 @@
 	private double coldPerSecond(String service) {
 		return this.config.current()
 			.flatMap((current) -> current.service(service))
-			.map(ServiceSpec::coldPerSecond)
+			.map(ServiceSpec::coldRequestsPerSecond)
 			.orElse(0.0);
 	}
 
@@ -289,7 +289,7 @@
 	 */
 	void reload(NodeSettings fresh) {
 		this.loop.execute(() -> {
-			this.budgets.update(fresh.bounds());
+			this.budgets.update(fresh.platformLimits());
 			this.log.event(EventCode.SETTINGS_CHANGED, "taken", true);
 		});
 	}
@@ -325,7 +325,7 @@
 		this.mesh.drain();
 		this.pieces.handOver();
 		callers.drain();
-		long deadline = this.loop.nowMs() + this.settings.bounds().graceMs() - BEFORE_KILL_MS;
+		long deadline = this.loop.nowMs() + this.settings.platformLimits().graceMs() - BEFORE_KILL_MS;
 		this.loop.schedule(STILL_ACCEPTING_MS, () -> {
 			callers.stopListening();
 			callers.closeIdle();
--- a/node/src/main/java/org/tallycart/node/ReadinessHandler.java
+++ b/node/src/main/java/org/tallycart/node/ReadinessHandler.java
@@ -69,7 +69,7 @@
 
 	@Override
 	public RequestLimits limits() {
-		return RequestLimits.of(CallerLimits.BEFORE_CONFIGURATION);
+		return RequestLimits.of(CallerLimits.DEFAULTS);
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/crash/CrashReportCoordinator.java
+++ b/node/src/main/java/org/tallycart/node/crash/CrashReportCoordinator.java
@@ -88,7 +88,7 @@
 		if (this.spread.collectsReports()) {
 			this.ledger.onReport(report, now)
 				.forEach((suspect) -> ask(suspect, this.ledger.firstCrashMs(suspect, now)));
-			this.loop.schedule(CrashingRequestDetector.CONFIRM_MS, this::takeFound);
+			this.loop.schedule(CrashingRequestDetector.CONFIRMATION_DELAY_MS, this::takeFound);
 		}
 		this.spread.sendUp(CrashMessageCodec.encode(report, now));
 	}
@@ -96,11 +96,11 @@
 	private void ask(Fingerprint suspect, long sinceMs) {
 		long now = this.loop.nowMs();
 		Long before = this.askedMs.put(suspect, now);
-		this.askedMs.values().removeIf((at) -> now - at > CrashingRequestDetector.CONFIRM_MS);
+		this.askedMs.values().removeIf((at) -> now - at > CrashingRequestDetector.CONFIRMATION_DELAY_MS);
 		if (this.served.servedSince(suspect, sinceMs)) {
 			clear(suspect);
 		}
-		else if (before == null || now - before > CrashingRequestDetector.CONFIRM_MS) {
+		else if (before == null || now - before > CrashingRequestDetector.CONFIRMATION_DELAY_MS) {
 			this.spread.sendDown(CrashMessageCodec.question(suspect, sinceMs, now));
 		}
 	}
@@ -110,8 +110,8 @@
 		for (Fingerprint found : this.ledger.takeConfirmed(now)) {
 			this.log.event(EventCode.CRASHING_REQUEST_FOUND, "fingerprint", found.shortText(), "ends",
 					this.ledger.crashCount(found));
-			publish(found, Clocks.SYSTEM.wallMs() + Quarantine.TERM_MS);
-			take("reports", List.of(found), now + Quarantine.TERM_MS);
+			publish(found, Clocks.SYSTEM.wallMs() + Quarantine.DURATION_MS);
+			take("reports", List.of(found), now + Quarantine.DURATION_MS);
 		}
 	}
 
@@ -209,7 +209,7 @@
 
 	private void onNotice(String from, QuarantinedRequest request) {
 		take(from, List.of(new Fingerprint(request.getFingerprint())),
-				this.loop.nowMs() + Math.min(request.getRemainingMs(), Quarantine.TERM_MS));
+				this.loop.nowMs() + Math.min(request.getRemainingMs(), Quarantine.DURATION_MS));
 	}
 
 	@Override
--- a/node/src/main/java/org/tallycart/node/request/Attempt.java
+++ b/node/src/main/java/org/tallycart/node/request/Attempt.java
@@ -128,7 +128,7 @@
 	}
 
 	private boolean streams(UpstreamReply decoded) {
-		return decoded.success() && decoded.signed() && this.plan.route().kind() == RequestKind.STREAMING;
+		return decoded.success() && decoded.stamped() && this.plan.route().kind() == RequestKind.STREAMING;
 	}
 
 	@Override
@@ -179,7 +179,7 @@
 			close();
 			this.owner.onStreamEnd(this);
 		}
-		else if (present.success() && !present.signed()) {
+		else if (present.success() && !present.stamped()) {
 			this.upstream.onError();
 			finish(new AttemptFailure(AttemptFailure.Kind.BROKEN, "a success without the upstream's mark"));
 		}
--- a/node/src/main/java/org/tallycart/node/request/CallerHandler.java
+++ b/node/src/main/java/org/tallycart/node/request/CallerHandler.java
@@ -99,8 +99,7 @@
 
 	@Override
 	public RequestLimits limits() {
-		return RequestLimits
-			.of(this.config.current().map(ServingConfig::limits).orElse(CallerLimits.BEFORE_CONFIGURATION));
+		return RequestLimits.of(this.config.current().map(ServingConfig::limits).orElse(CallerLimits.DEFAULTS));
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
+++ b/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
@@ -103,19 +103,19 @@
 			return;
 		}
 		onLimit(upstream, reply);
-		if (readable(upstream, StatementKind.LEAVING, reply.leaves()) && reply.leaves().value().orElse(false)) {
+		if (readable(upstream, StatementKind.LEAVING, reply.draining()) && reply.draining().value().orElse(false)) {
 			onLeaving(upstream.incarnation(), "reply");
 		}
-		if (readable(upstream, StatementKind.REST, reply.restMs())) {
-			reply.restMs().value().ifPresent((ms) -> onRest(upstream, ms));
+		if (readable(upstream, StatementKind.REST, reply.retryAfterMs())) {
+			reply.retryAfterMs().value().ifPresent((ms) -> onRest(upstream, ms));
 		}
 	}
 
 	private void onLimit(UpstreamEntry upstream, UpstreamReply reply) {
-		Optional<Double> limit = reply.perSecond().value();
+		Optional<Double> limit = reply.maxRequestsPerSecond().value();
 		// A failure may come from what stands before the upstream, which knows no limit.
 		boolean tells = limit.isPresent() || reply.success();
-		if (readable(upstream, StatementKind.LIMIT, reply.perSecond()) && tells) {
+		if (readable(upstream, StatementKind.LIMIT, reply.maxRequestsPerSecond()) && tells) {
 			onLimit(upstream.incarnation(),
 					limit.isPresent() ? OptionalDouble.of(limit.get()) : OptionalDouble.empty());
 		}
--- a/node/src/main/java/org/tallycart/node/store/QuarantineSink.java
+++ b/node/src/main/java/org/tallycart/node/store/QuarantineSink.java
@@ -83,7 +83,7 @@
 
 	// Clocks may differ by seconds, or be wrong: no record holds longer than a term.
 	private long steady(long wallMs) {
-		long remainingMs = Math.min(wallMs - Clocks.SYSTEM.wallMs(), Quarantine.TERM_MS);
+		long remainingMs = Math.min(wallMs - Clocks.SYSTEM.wallMs(), Quarantine.DURATION_MS);
 		return this.loop.nowMs() + Math.max(remainingMs, 0);
 	}
 
--- a/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
+++ b/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
@@ -149,7 +149,7 @@
 		follow(client, Feed.CONFIGURATION, ConfigDecoder.KIND, new ConfigSink(known.config(), log, onChange));
 		follow(client, Feed.UPSTREAMS, UpstreamDecoder.KIND,
 				new UpstreamSink(directory, loop, log, known.metrics(), onChange));
-		if (settings.evacuations()) {
+		if (settings.evacuationsEnabled()) {
 			directory.expectEvacuations();
 			follow(client, Feed.EVACUATIONS, Evacuations.KIND, new EvacuationSink(directory, log, onChange));
 		}
--- a/node/src/test/java/org/tallycart/node/piece/PoolDriversTests.java
+++ b/node/src/test/java/org/tallycart/node/piece/PoolDriversTests.java
@@ -66,8 +66,7 @@
 	private static ActiveConfig config(NodeLog log) {
 		ActiveConfig config = new ActiveConfig(log);
 		ServiceSpec service = new ServiceSpec(POOL, 10, Optional.of(SPEC), false, 0);
-		config.offer(new ServingConfig(1, List.of(), Map.of(POOL, service), CallerLimits.BEFORE_CONFIGURATION, Map.of(),
-				false));
+		config.offer(new ServingConfig(1, List.of(), Map.of(POOL, service), CallerLimits.DEFAULTS, Map.of(), false));
 		return config;
 	}
 
--- a/steward/src/main/java/org/tallycart/steward/Gossip.java
+++ b/steward/src/main/java/org/tallycart/steward/Gossip.java
@@ -115,7 +115,7 @@
 					.setVm(vm)
 					.setIncarnation(peer.incarnation())
 					.setDraining(peer.draining())
-					.setAgeMs((int) Math.min(nowMs - peer.heardMs(), Integer.MAX_VALUE)));
+					.setAgeMs((int) Math.min(nowMs - peer.lastHeardMs(), Integer.MAX_VALUE)));
 			}
 		}
 		return beat.build();
