--- a/core/src/main/java/org/tallycart/core/fleet/LeaderRole.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderRole.java
@@ -13,10 +13,10 @@
 public record LeaderRole(String subject, Optional<String> failureDomain, boolean heavy) {
 
 	/** Reading the platform's store for all VMs: a duty that any VM may hold. */
-	public static final LeaderRole READ = new LeaderRole("read", Optional.empty(), false);
+	public static final LeaderRole STORE_READER = new LeaderRole("read", Optional.empty(), false);
 
 	/** Granting what may be sent to upstreams that have named a limit. */
-	public static final LeaderRole GRANT = new LeaderRole("grant", Optional.empty(), false);
+	public static final LeaderRole PERMIT_GRANTER = new LeaderRole("grant", Optional.empty(), false);
 
 	/**
 	 * Dispatching a stage pool's calls.
--- a/core/src/main/java/org/tallycart/core/fleet/LeaderTable.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderTable.java
@@ -281,7 +281,7 @@
 	 */
 	public Set<String> preferredSources(int count) {
 		Set<String> first = new LinkedHashSet<>();
-		this.ranks.of(LeaderRole.READ).stream().limit(count).forEach(first::add);
+		this.ranks.of(LeaderRole.STORE_READER).stream().limit(count).forEach(first::add);
 		for (String domain : this.ranks.failureDomains()) {
 			this.ranks.of(LeaderRole.domainRelay(domain)).stream().limit(count).forEach(first::add);
 		}
--- a/core/src/main/java/org/tallycart/core/fleet/StoreSourceChooser.java
+++ b/core/src/main/java/org/tallycart/core/fleet/StoreSourceChooser.java
@@ -159,7 +159,7 @@
 	}
 
 	/**
-	 * Take note that the store has answered this VM's question, see {@link Action#ASK}.
+	 * Take note that the store has answered this VM's question, see {@link Action#PROBE}.
 	 * @param sentMs when it was asked, on the steady clock
 	 */
 	public void onProbeSuccess(long sentMs) {
@@ -203,8 +203,8 @@
 	public List<LeaderRole> watchedRoles(LeaderView view, long nowMs) {
 		List<LeaderRole> duties = new ArrayList<>(List.of(this.relay));
 		if (this.followed || view.countAhead(this.relay, nowMs) < RELAYS
-				|| view.countAhead(LeaderRole.READ, nowMs) < READERS) {
-			duties.add(LeaderRole.READ);
+				|| view.countAhead(LeaderRole.STORE_READER, nowMs) < READERS) {
+			duties.add(LeaderRole.STORE_READER);
 		}
 		return duties;
 	}
@@ -216,11 +216,11 @@
 	 * @return its name; this VM's own if it is to read the store
 	 */
 	public String preferredSource(LeaderView view, long nowMs) {
-		if (view.countAhead(LeaderRole.READ, nowMs) == 0) {
+		if (view.countAhead(LeaderRole.STORE_READER, nowMs) == 0) {
 			return this.vm;
 		}
 		String near = view.leader(this.relay);
-		return near.equals(this.vm) ? view.leader(LeaderRole.READ) : near;
+		return near.equals(this.vm) ? view.leader(LeaderRole.STORE_READER) : near;
 	}
 
 	/**
@@ -244,16 +244,16 @@
 			this.unfitSinceMs = nowMs;
 		}
 		if (isReadingStore() || nowMs < readFromMs(view, asHolder, othersKnown, nowMs)) {
-			return Action.STAY;
+			return Action.KEEP;
 		}
 		if (!storeAnswers()) {
 			return askIfDue(nowMs);
 		}
 		if (this.unanswered && nowMs < this.answeredMs + AFTER_OUTAGE_MS && ahead(view, nowMs) > 0) {
-			return Action.STAY;
+			return Action.KEEP;
 		}
 		this.source = this.vm;
-		return Action.READ;
+		return Action.READ_STORE;
 	}
 
 	// At a start, that the record was written shows that the store answers.
@@ -264,10 +264,10 @@
 
 	private Action askIfDue(long nowMs) {
 		if (nowMs - this.askedMs < ASK_MS) {
-			return Action.STAY;
+			return Action.KEEP;
 		}
 		this.askedMs = nowMs;
-		return Action.ASK;
+		return Action.PROBE;
 	}
 
 	/**
@@ -282,10 +282,10 @@
 		long settleMs = isReadingStore() ? SETTLE_MS : 0;
 		boolean settled = health(wanted).fitForMs(mostAgeMs, nowMs) >= settleMs && (serving || !isReadingStore());
 		if (this.source.equals(wanted) || !settled) {
-			return Action.STAY;
+			return Action.KEEP;
 		}
 		this.source = wanted;
-		return Action.FOLLOW;
+		return Action.SUBSCRIBE;
 	}
 
 	private long readFromMs(LeaderView view, boolean asHolder, boolean othersKnown, long nowMs) {
@@ -299,7 +299,7 @@
 	}
 
 	private int ahead(LeaderView view, long nowMs) {
-		return Math.min(view.countAhead(this.relay, nowMs), view.countAhead(LeaderRole.READ, nowMs));
+		return Math.min(view.countAhead(this.relay, nowMs), view.countAhead(LeaderRole.STORE_READER, nowMs));
 	}
 
 	private static long startWaitMs(int ahead) {
@@ -352,15 +352,15 @@
 	public enum Action {
 
 		/** All stays as it is. */
-		STAY,
+		KEEP,
 		/**
 		 * Ask by the cheapest call whether the store answers; review again if it does.
 		 */
-		ASK,
+		PROBE,
 		/** Read the store from now on. */
-		READ,
+		READ_STORE,
 		/** Be told by another VM from now on. */
-		FOLLOW
+		SUBSCRIBE
 
 	}
 
--- a/core/src/main/java/org/tallycart/core/limit/Permit.java
+++ b/core/src/main/java/org/tallycart/core/limit/Permit.java
@@ -10,7 +10,7 @@
 public record Permit(boolean granted, long waitMs) {
 
 	/** The answer where the upstream has no limit. */
-	public static final Permit FREE = new Permit(true, 0);
+	public static final Permit UNLIMITED = new Permit(true, 0);
 
 	/**
 	 * Return a permit.
--- a/core/src/main/java/org/tallycart/core/limit/StatedLimits.java
+++ b/core/src/main/java/org/tallycart/core/limit/StatedLimits.java
@@ -44,7 +44,7 @@
 	 */
 	public boolean merge(String incarnation, OptionalDouble perSecond, HybridTimestamp said, long nowMs) {
 		TrackedLimit known = this.limits.get(incarnation);
-		if ((known == null && perSecond.isEmpty()) || (known != null && known.named.said.compareTo(said) >= 0)) {
+		if ((known == null && perSecond.isEmpty()) || (known != null && known.named.statedAt.compareTo(said) >= 0)) {
 			return false;
 		}
 		OptionalDouble told = (known != null) ? known.told : OptionalDouble.empty();
@@ -133,9 +133,9 @@
 	 * What an upstream has said last.
 	 *
 	 * @param perSecond requests a second; empty if it has taken its limit back
-	 * @param said when that was heard from the upstream, by whichever VM heard it
+	 * @param statedAt when that was heard from the upstream, by whichever VM heard it
 	 */
-	public record LimitStatement(OptionalDouble perSecond, HybridTimestamp said) {
+	public record LimitStatement(OptionalDouble perSecond, HybridTimestamp statedAt) {
 
 		/** Nothing was ever heard. */
 		public static final LimitStatement NOTHING = new LimitStatement(OptionalDouble.empty(), HybridTimestamp.ZERO);
--- a/core/src/test/java/org/tallycart/core/fleet/StoreReaderSimulation.java
+++ b/core/src/test/java/org/tallycart/core/fleet/StoreReaderSimulation.java
@@ -220,10 +220,10 @@
 			this.chooser.setHasSubscribers(followers() > 0);
 			this.table.setWatchedRoles(this.chooser.watchedRoles(this.table, now));
 			StoreSourceChooser.Action step = this.chooser.review(this.table, this.known > 0, this.recordsKnown, now);
-			if (step == StoreSourceChooser.Action.ASK) {
+			if (step == StoreSourceChooser.Action.PROBE) {
 				ask(now);
 			}
-			if (step == StoreSourceChooser.Action.READ) {
+			if (step == StoreSourceChooser.Action.READ_STORE) {
 				StoreReaderSimulation.this.calls += BEGIN_CALLS;
 				this.answeredFromMs = now + FIRST_ANSWER_MS;
 			}
--- a/core/src/test/java/org/tallycart/core/limit/LimitedFleet.java
+++ b/core/src/test/java/org/tallycart/core/limit/LimitedFleet.java
@@ -135,7 +135,7 @@
 	// The VM that most others ask.
 	String holder() {
 		Map<String, Integer> named = new TreeMap<>();
-		live().forEach((vm) -> named.merge(vm.table.leader(LeaderRole.GRANT), 1, Integer::sum));
+		live().forEach((vm) -> named.merge(vm.table.leader(LeaderRole.PERMIT_GRANTER), 1, Integer::sum));
 		return named.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
 	}
 
@@ -270,10 +270,10 @@
 		private List<LeaderRole> wanted() {
 			List<LeaderRole> wanted = new ArrayList<>();
 			if (LimitedFleet.this.storeAway) {
-				wanted.add(LeaderRole.READ);
+				wanted.add(LeaderRole.STORE_READER);
 			}
 			if (!this.limits.isEmpty()) {
-				wanted.add(LeaderRole.GRANT);
+				wanted.add(LeaderRole.PERMIT_GRANTER);
 			}
 			return wanted;
 		}
@@ -315,8 +315,8 @@
 		}
 
 		private void learn(StatedLimits.LimitStatement named) {
-			this.clock.receive(named.said(), LimitedFleet.this.now);
-			if (this.limits.merge(UPSTREAM, named.perSecond(), named.said(), LimitedFleet.this.now)) {
+			this.clock.receive(named.statedAt(), LimitedFleet.this.now);
+			if (this.limits.merge(UPSTREAM, named.perSecond(), named.statedAt(), LimitedFleet.this.now)) {
 				tellAll(named);
 			}
 		}
@@ -343,11 +343,11 @@
 				arrive(this);
 				return;
 			}
-			if (now < this.freeFromMs || !this.table.isLeaderKnown(LeaderRole.GRANT, now)
+			if (now < this.freeFromMs || !this.table.isLeaderKnown(LeaderRole.PERMIT_GRANTER, now)
 					|| this.table.recordCount() == 0) {
 				return;
 			}
-			String holder = this.table.leader(LeaderRole.GRANT);
+			String holder = this.table.leader(LeaderRole.PERMIT_GRANTER);
 			if (holder.equals(this.name)) {
 				onPermit(grant(now));
 			}
@@ -362,8 +362,8 @@
 					return;
 				}
 				holder.learn(this.limits.latest(UPSTREAM));
-				boolean grantsHere = holder.table.isLeaderKnown(LeaderRole.GRANT, LimitedFleet.this.now)
-						&& holder.table.leader(LeaderRole.GRANT).equals(holder.name);
+				boolean grantsHere = holder.table.isLeaderKnown(LeaderRole.PERMIT_GRANTER, LimitedFleet.this.now)
+						&& holder.table.leader(LeaderRole.PERMIT_GRANTER).equals(holder.name);
 				Permit permit = grantsHere ? holder.grant(LimitedFleet.this.now) : Permit.denied(ANSWER_MS);
 				after(MESSAGE_MS, () -> {
 					if (this.up && reaches(holder, this)) {
@@ -376,10 +376,10 @@
 		private Permit grant(long now) {
 			OptionalDouble perSecond = this.limits.perSecond(UPSTREAM);
 			if (perSecond.isEmpty()) {
-				return Permit.FREE;
+				return Permit.UNLIMITED;
 			}
-			double share = this.heard.shareOfRate(this.table.unresponsiveAhead(LeaderRole.GRANT, now), this.table.vms(),
-					now);
+			double share = this.heard.shareOfRate(this.table.unresponsiveAhead(LeaderRole.PERMIT_GRANTER, now),
+					this.table.vms(), now);
 			return this.grants.acquire(UPSTREAM, perSecond.getAsDouble(), share, 0, now);
 		}
 
--- a/node/src/main/java/org/tallycart/node/statement/PermitService.java
+++ b/node/src/main/java/org/tallycart/node/statement/PermitService.java
@@ -130,7 +130,7 @@
 			asker.accept(Permit.denied(UNKNOWN_MS));
 		}
 		else if (holder.get().equals(this.vm)) {
-			asker.accept(grant(incarnation, LeaderRole.GRANT, patienceMs));
+			asker.accept(grant(incarnation, LeaderRole.PERMIT_GRANTER, patienceMs));
 		}
 		else {
 			askAt(holder.get(), incarnation, patienceMs, asker);
@@ -140,8 +140,8 @@
 	// Empty while that is not known.
 	private Optional<String> holder() {
 		return this.mesh.filter((peers) -> peers.knownVmCount() > 0)
-			.filter((peers) -> peers.duties().isLeaderKnown(LeaderRole.GRANT, this.loop.nowMs()))
-			.map((peers) -> peers.holder(LeaderRole.GRANT));
+			.filter((peers) -> peers.duties().isLeaderKnown(LeaderRole.PERMIT_GRANTER, this.loop.nowMs()))
+			.map((peers) -> peers.holder(LeaderRole.PERMIT_GRANTER));
 	}
 
 	private void askAt(String holder, String incarnation, long patienceMs, Consumer<Permit> asker) {
@@ -162,7 +162,7 @@
 	private Permit grant(String incarnation, LeaderRole duty, long patienceMs) {
 		OptionalDouble perSecond = this.statements.perSecond(incarnation);
 		if (perSecond.isEmpty()) {
-			return Permit.FREE;
+			return Permit.UNLIMITED;
 		}
 		return this.grants.acquire(incarnation, perSecond.getAsDouble(), share(duty), patienceMs, this.loop.nowMs());
 	}
@@ -204,7 +204,8 @@
 		String incarnation = ask.getLimit().getIncarnation();
 		this.statements.learn(from, ask.getLimit());
 		boolean grantsHere = holder().filter(this.vm::equals).isPresent();
-		Permit permit = grantsHere ? grant(incarnation, LeaderRole.GRANT, Integer.toUnsignedLong(ask.getPatienceMs()))
+		Permit permit = grantsHere
+				? grant(incarnation, LeaderRole.PERMIT_GRANTER, Integer.toUnsignedLong(ask.getPatienceMs()))
 				: Permit.denied(UNKNOWN_MS);
 		Envelope.Builder answer = StatementMessageCodec.answer(ask.getNumber(), permit,
 				this.statements.encoded(incarnation));
--- a/node/src/main/java/org/tallycart/node/statement/StatementMessageCodec.java
+++ b/node/src/main/java/org/tallycart/node/statement/StatementMessageCodec.java
@@ -48,7 +48,7 @@
 			.setIncarnation(incarnation)
 			.setLimited(named.perSecond().isPresent())
 			.setPerSecond(named.perSecond().orElse(0))
-			.setSaid(named.said().packed())
+			.setSaid(named.statedAt().packed())
 			.build();
 	}
 
--- a/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
+++ b/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
@@ -90,7 +90,7 @@
 	 * @return none while no upstream has named a limit
 	 */
 	public List<LeaderRole> duties() {
-		return this.named.isEmpty() ? List.of() : List.of(LeaderRole.GRANT);
+		return this.named.isEmpty() ? List.of() : List.of(LeaderRole.PERMIT_GRANTER);
 	}
 
 	/**
@@ -164,7 +164,7 @@
 
 	private void hear(String incarnation, StatedLimits.LimitStatement fresh, String by) {
 		OptionalDouble before = this.named.perSecond(incarnation);
-		if (!this.named.merge(incarnation, fresh.perSecond(), fresh.said(), this.loop.nowMs())) {
+		if (!this.named.merge(incarnation, fresh.perSecond(), fresh.statedAt(), this.loop.nowMs())) {
 			return;
 		}
 		this.log.event(EventCode.UPSTREAM_LIMIT_CHANGED, "upstream", incarnation, "by", by, "per_second",
--- a/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
+++ b/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
@@ -227,17 +227,17 @@
 		boolean serving = this.kinds.stream().allMatch(FeedReplica::known);
 		StoreSourceChooser.Action step = this.chooser.review(view, serving, this.vms.known(), now);
 		switch (step) {
-			case ASK -> this.records.probe((answered) -> onRequest(answered, now));
-			case READ -> {
+			case PROBE -> this.records.probe((answered) -> onRequest(answered, now));
+			case READ_STORE -> {
 				this.log.event(EventCode.STORE_FOLLOWED, "by", this.chooser.source(), "unfit",
 						this.chooser.preferredSource(view, now));
 				this.kinds.forEach(FeedReplica::follow);
 			}
-			case FOLLOW -> {
+			case SUBSCRIBE -> {
 				this.log.event(EventCode.STORE_FOLLOWED, "by", this.chooser.source());
 				this.kinds.forEach(FeedReplica::stopFollowing);
 			}
-			case STAY -> {
+			case KEEP -> {
 				// The usual case: the source is as good as it was.
 			}
 		}
@@ -310,7 +310,7 @@
 
 	@Override
 	public String storeReader() {
-		return this.mesh.map((peers) -> peers.holder(LeaderRole.READ)).orElse(this.settings.vm());
+		return this.mesh.map((peers) -> peers.holder(LeaderRole.STORE_READER)).orElse(this.settings.vm());
 	}
 
 	@Override
