--- a/core/src/main/java/org/tallycart/core/pool/BatchSelector.java
+++ b/core/src/main/java/org/tallycart/core/pool/BatchSelector.java
@@ -121,7 +121,7 @@
 	private static Map<StageKey, List<PendingPiece>> groups(List<PendingPiece> queue) {
 		Map<StageKey, List<PendingPiece>> groups = new HashMap<>();
 		for (PendingPiece waiting : queue) {
-			if (waiting.job().together()) {
+			if (waiting.job().colocated()) {
 				groups.computeIfAbsent(StageKey.of(waiting), (key) -> new ArrayList<>()).add(waiting);
 			}
 		}
@@ -135,7 +135,7 @@
 
 	private boolean betterElsewhere(PendingPiece waiting, PoolWorker worker) {
 		PieceJob job = waiting.job();
-		if (job.movedBytes() < PieceJob.MUCH_MOVED_BYTES
+		if (job.crossDomainBytes() < PieceJob.MUCH_MOVED_BYTES
 				|| job.failureDomain().equals(worker.entry().failureDomain())) {
 			return false;
 		}
--- a/core/src/main/java/org/tallycart/core/pool/PieceJob.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceJob.java
@@ -18,15 +18,15 @@
  * @param priority the request's rank; 0 is the most urgent
  * @param failureDomain where its result is wanted
  * @param resultBytes the approximate size of its result
- * @param together whether its stage's results are read together, so that they are better
- * made at one worker
- * @param movedBytes what crosses failure domains if it is made in another one: its
+ * @param colocated whether its stage's results are read together, so that they are
+ * better made at one worker
+ * @param crossDomainBytes what crosses failure domains if it is made in another one: its
  * inputs, or its result
  * @since 0.1
  */
 public record PieceJob(PieceId id, Fingerprint fingerprint, String service, String key, List<String> inputs,
-		long deadlineMs, long objectiveMs, int priority, String failureDomain, long resultBytes, boolean together,
-		long movedBytes) {
+		long deadlineMs, long objectiveMs, int priority, String failureDomain, long resultBytes, boolean colocated,
+		long crossDomainBytes) {
 
 	/** Moving this much is worth a wait, in bytes; less costs next to nothing. */
 	static final long MUCH_MOVED_BYTES = 200_000;
@@ -34,7 +34,7 @@
 	// Whether its inputs fill their makers' room, so that other work waits until they are
 	// read.
 	boolean inputsHoldRoom() {
-		return !this.inputs.isEmpty() && this.movedBytes >= MUCH_MOVED_BYTES;
+		return !this.inputs.isEmpty() && this.crossDomainBytes >= MUCH_MOVED_BYTES;
 	}
 
 	/**
@@ -72,9 +72,9 @@
 
 		private long resultBytes;
 
-		private boolean together;
+		private boolean colocated;
 
-		private long movedBytes;
+		private long crossDomainBytes;
 
 		private Builder(PieceId id, String service) {
 			this.id = id;
@@ -133,7 +133,7 @@
 		 */
 		public Builder preferredDomain(String domain, long bytes) {
 			this.failureDomain = domain;
-			this.movedBytes = bytes;
+			this.crossDomainBytes = bytes;
 			return this;
 		}
 
@@ -145,7 +145,7 @@
 		 */
 		public Builder result(long bytes, boolean readTogether) {
 			this.resultBytes = bytes;
-			this.together = readTogether;
+			this.colocated = readTogether;
 			return this;
 		}
 
@@ -155,8 +155,8 @@
 		 */
 		public PieceJob build() {
 			return new PieceJob(this.id, this.fingerprint, this.service, this.key, this.inputs, this.deadlineMs,
-					this.objectiveMs, this.priority, this.failureDomain, this.resultBytes, this.together,
-					this.movedBytes);
+					this.objectiveMs, this.priority, this.failureDomain, this.resultBytes, this.colocated,
+					this.crossDomainBytes);
 		}
 
 	}
--- a/core/src/main/java/org/tallycart/core/routing/LoadScore.java
+++ b/core/src/main/java/org/tallycart/core/routing/LoadScore.java
@@ -34,7 +34,7 @@
 		if (candidate.reportAgeMs() < 0) {
 			return 0;
 		}
-		int others = Math.max(candidate.reported() - candidate.reportedInFlight(), 0);
+		int others = Math.max(candidate.reportedCalls() - candidate.inFlightAtReport(), 0);
 		return others * Math.pow(0.5, candidate.reportAgeMs() / this.halfLifeMs);
 	}
 
--- a/core/src/main/java/org/tallycart/core/routing/UpstreamHealth.java
+++ b/core/src/main/java/org/tallycart/core/routing/UpstreamHealth.java
@@ -27,9 +27,9 @@
 
 	private int inFlight;
 
-	private int reported;
+	private int reportedCalls;
 
-	private int reportedInFlight;
+	private int inFlightAtReport;
 
 	private long reportedAtMs = -1;
 
@@ -96,8 +96,8 @@
 	}
 
 	void onReport(int calls, long nowMs) {
-		this.reported = calls;
-		this.reportedInFlight = this.inFlight;
+		this.reportedCalls = calls;
+		this.inFlightAtReport = this.inFlight;
 		this.reportedAtMs = nowMs;
 	}
 
@@ -133,7 +133,7 @@
 
 	Candidate candidate(long nowMs, String domain) {
 		long age = (this.reportedAtMs < 0) ? -1 : nowMs - this.reportedAtMs;
-		return new Candidate(this.upstream, this.inFlight, this.reported, this.reportedInFlight, age,
+		return new Candidate(this.upstream, this.inFlight, this.reportedCalls, this.inFlightAtReport, age,
 				this.upstream.domain().equals(domain), 0);
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/stage/Routing.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/Routing.java
@@ -93,9 +93,9 @@
 			Upstream upstream = candidate.upstream();
 			double score = context.policy()
 				.place(context.facts(), new UpstreamFacts(upstream.id(), upstream.domain(), candidate.sameDomain(),
-						candidate.inFlight(), candidate.reported(), candidate.reportAgeMs(), upstream.slots()));
-			scored.add(new Candidate(upstream, candidate.inFlight(), candidate.reported(), candidate.reportedInFlight(),
-					candidate.reportAgeMs(), candidate.sameDomain(), score));
+						candidate.inFlight(), candidate.reportedCalls(), candidate.reportAgeMs(), upstream.slots()));
+			scored.add(new Candidate(upstream, candidate.inFlight(), candidate.reportedCalls(),
+					candidate.inFlightAtReport(), candidate.reportAgeMs(), candidate.sameDomain(), score));
 		}
 		return scored;
 	}
--- a/node/src/main/java/org/tallycart/node/piece/PieceMessageCodec.java
+++ b/node/src/main/java/org/tallycart/node/piece/PieceMessageCodec.java
@@ -33,8 +33,8 @@
 			.setPriority(job.priority())
 			.setFailureDomain(job.failureDomain())
 			.setResultBytes(job.resultBytes())
-			.setTogether(job.together())
-			.setMovedBytes(job.movedBytes())
+			.setTogether(job.colocated())
+			.setMovedBytes(job.crossDomainBytes())
 			.build();
 	}
 
