--- a/core/src/main/java/org/tallycart/core/pool/PieceJob.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceJob.java
@@ -18,8 +18,8 @@
  * @param priority the request's rank; 0 is the most urgent
  * @param failureDomain where its result is wanted
  * @param resultBytes the approximate size of its result
- * @param colocated whether its stage's results are read together, so that they are
- * better made at one worker
+ * @param colocated whether its stage's results are read together, so that they are better
+ * made at one worker
  * @param crossDomainBytes what crosses failure domains if it is made in another one: its
  * inputs, or its result
  * @since 0.1
