--- a/core/src/main/java/org/tallycart/core/pool/BatchSelector.java
+++ b/core/src/main/java/org/tallycart/core/pool/BatchSelector.java
@@ -13,154 +13,155 @@
 import org.tallycart.core.serving.PoolSpec;
 
 /**
- * Chooses the pieces of one call from a queue that {@link QueueOrder} has put in order.
+ * Selects the pieces of one call from a queue sorted by {@link QueueOrder}.
  * <p>
- * Pieces whose results are read together are kept together, unless that would leave many
- * places of the call empty while more pieces wait than full calls of all idle workers
- * hold: then the first that did not fit fill it up. A call costs a fixed time whatever it
- * holds, so a pool whose groups do not divide its calls would otherwise stay at a part of
- * its rate for as long as its queue is long: at 0.74 with groups of 6 and calls of 10.
+ * Pieces whose results are read together form a group and are not split across calls. The
+ * exception is a call that would run with many empty places while the rest of the queue
+ * would fill a call of each idle worker: the call is then filled with parts of the first
+ * groups that did not fit, since a call has a fixed cost and partly filled calls lower
+ * the pool's throughput.
  * <p>
- * A piece with much to move is made in the failure domain where it is wanted, unless that
- * makes it late. No more is chosen than the worker has room for.
+ * A piece with a large cross-domain transfer goes to its preferred failure domain unless
+ * it would miss its objective there, or its deadline once the objective cannot be met.
+ * The selected pieces never exceed the worker's free result memory.
  * <p>
- * Not thread-safe: made for one choice.
+ * Not thread-safe: an instance covers one scheduling decision.
  */
 final class BatchSelector {
 
 	/**
-	 * What a request still needs after its last piece, in milliseconds: reading its
-	 * prompt.
+	 * Time that a request needs after its last piece, in milliseconds: the prefill.
 	 */
-	private static final long MARGIN_MS = 300;
+	private static final long PREFILL_MS = 300;
 
 	/**
-	 * Share of a call's places from which on groups are not split to fill it. The call's
-	 * fixed time makes a pool at three quarters lose 0.15 of its rate, and at 0.85 some
-	 * 0.07, which the larger room that split groups hold takes again: in a pool with
-	 * groups of 6 and calls of 14, filling raised the pieces that find no room threefold.
+	 * Share of a call's places from which on no group is split to fill the call: split
+	 * groups occupy result memory for longer.
 	 */
-	private static final double FULL_ENOUGH = 0.75;
+	private static final double MIN_FILL_SHARE = 0.75;
 
 	private final PoolSpec spec;
 
 	private final Collection<PoolWorker> workers;
 
-	private final ResultMemory room;
+	private final ResultMemory resultMemory;
 
-	private final int idle;
+	private final int idleWorkers;
 
 	private final long nowMs;
 
-	private final Map<String, Integer> leftToOthers = new HashMap<>();
+	private final Map<String, Integer> deferredByDomain = new HashMap<>();
 
-	BatchSelector(PoolSpec spec, Collection<PoolWorker> workers, ResultMemory room, int idle, long nowMs) {
+	BatchSelector(PoolSpec spec, Collection<PoolWorker> workers, ResultMemory resultMemory, int idleWorkers,
+			long nowMs) {
 		this.spec = spec;
 		this.workers = workers;
-		this.room = room;
-		this.idle = idle;
+		this.resultMemory = resultMemory;
+		this.idleWorkers = idleWorkers;
 		this.nowMs = nowMs;
 	}
 
-	private boolean canBeOnTime(PieceJob job) {
-		return job.objectiveMs() >= this.nowMs + (long) this.spec.expectedMs(1) + MARGIN_MS;
+	private boolean canMeetObjective(PieceJob job) {
+		return job.objectiveMs() >= this.nowMs + (long) this.spec.expectedMs(1) + PREFILL_MS;
 	}
 
-	List<PendingPiece> choose(PoolWorker worker, List<PendingPiece> queue) {
-		List<PendingPiece> chosen = new ArrayList<>();
+	List<PendingPiece> select(PoolWorker worker, List<PendingPiece> queue) {
+		List<PendingPiece> selected = new ArrayList<>();
 		Set<PendingPiece> seen = new HashSet<>();
-		List<List<PendingPiece>> left = new ArrayList<>();
-		long roomLeft = this.spec.resultMemoryBytes() - this.room.taken(worker.entry().incarnation());
-		this.leftToOthers.clear();
-		Map<StageKey, List<PendingPiece>> groups = groups(queue);
+		List<List<PendingPiece>> skipped = new ArrayList<>();
+		long freeBytes = this.spec.resultMemoryBytes() - this.resultMemory.usedBytes(worker.entry().incarnation());
+		this.deferredByDomain.clear();
+		Map<StageKey, List<PendingPiece>> colocatedGroups = colocatedGroups(queue);
 		for (PendingPiece first : queue) {
-			if (chosen.size() >= this.spec.batch()) {
+			if (selected.size() >= this.spec.batch()) {
 				break;
 			}
 			if (!seen.add(first)) {
 				continue;
 			}
-			List<PendingPiece> group = groups.getOrDefault(StageKey.of(first), List.of(first));
+			List<PendingPiece> group = colocatedGroups.getOrDefault(StageKey.of(first), List.of(first));
 			seen.addAll(group);
-			List<PendingPiece> wanted = group.subList(0, Math.min(group.size(), this.spec.batch()));
-			boolean fits = chosen.size() + wanted.size() <= this.spec.batch() && bytes(wanted) <= roomLeft;
-			if (!fits && wanted.size() > 1) {
-				left.add(wanted);
+			List<PendingPiece> part = group.subList(0, Math.min(group.size(), this.spec.batch()));
+			boolean fits = selected.size() + part.size() <= this.spec.batch() && resultBytes(part) <= freeBytes;
+			if (!fits && part.size() > 1) {
+				skipped.add(part);
 			}
-			else if (fits && mayGo(group, worker)) {
-				roomLeft -= bytes(wanted);
-				chosen.addAll(wanted);
+			else if (fits && canAssign(group, worker)) {
+				freeBytes -= resultBytes(part);
+				selected.addAll(part);
 			}
 		}
-		boolean muchWaits = queue.size() - chosen.size() >= this.spec.batch() * this.idle;
-		if (muchWaits && chosen.size() < this.spec.batch() * FULL_ENOUGH) {
-			fill(chosen, left, worker, roomLeft);
+		boolean backlogged = queue.size() - selected.size() >= this.spec.batch() * this.idleWorkers;
+		if (backlogged && selected.size() < this.spec.batch() * MIN_FILL_SHARE) {
+			fillWithParts(selected, skipped, worker, freeBytes);
 		}
-		return chosen;
+		return selected;
 	}
 
-	private void fill(List<PendingPiece> chosen, List<List<PendingPiece>> left, PoolWorker worker, long roomLeft) {
-		long room = roomLeft;
-		for (List<PendingPiece> group : left) {
-			int places = this.spec.batch() - chosen.size();
+	private void fillWithParts(List<PendingPiece> selected, List<List<PendingPiece>> skipped, PoolWorker worker,
+			long freeBytes) {
+		long free = freeBytes;
+		for (List<PendingPiece> group : skipped) {
+			int places = this.spec.batch() - selected.size();
 			if (places == 0) {
 				return;
 			}
 			List<PendingPiece> part = group.subList(0, Math.min(group.size(), places));
-			if (bytes(part) <= room && mayGo(part, worker)) {
-				room -= bytes(part);
-				chosen.addAll(part);
+			if (resultBytes(part) <= free && canAssign(part, worker)) {
+				free -= resultBytes(part);
+				selected.addAll(part);
 			}
 		}
 	}
 
-	private static long bytes(List<PendingPiece> group) {
-		return group.stream().mapToLong((waiting) -> waiting.job().resultBytes()).sum();
+	private static long resultBytes(List<PendingPiece> group) {
+		return group.stream().mapToLong((piece) -> piece.job().resultBytes()).sum();
 	}
 
-	private static Map<StageKey, List<PendingPiece>> groups(List<PendingPiece> queue) {
-		Map<StageKey, List<PendingPiece>> groups = new HashMap<>();
-		for (PendingPiece waiting : queue) {
-			if (waiting.job().colocated()) {
-				groups.computeIfAbsent(StageKey.of(waiting), (key) -> new ArrayList<>()).add(waiting);
+	private static Map<StageKey, List<PendingPiece>> colocatedGroups(List<PendingPiece> queue) {
+		Map<StageKey, List<PendingPiece>> colocatedGroups = new HashMap<>();
+		for (PendingPiece piece : queue) {
+			if (piece.job().colocated()) {
+				colocatedGroups.computeIfAbsent(StageKey.of(piece), (key) -> new ArrayList<>()).add(piece);
 			}
 		}
-		return groups;
+		return colocatedGroups;
 	}
 
-	private boolean mayGo(List<PendingPiece> group, PoolWorker worker) {
-		return group.stream().allMatch((waiting) -> waiting.mayGoTo(worker.entry().incarnation()))
-				&& !betterElsewhere(group.get(0), worker);
+	private boolean canAssign(List<PendingPiece> group, PoolWorker worker) {
+		return group.stream().allMatch((piece) -> piece.canRunAt(worker.entry().incarnation()))
+				&& !isBetterInPreferredDomain(group.get(0), worker);
 	}
 
-	private boolean betterElsewhere(PendingPiece waiting, PoolWorker worker) {
-		PieceJob job = waiting.job();
-		if (job.crossDomainBytes() < PieceJob.MUCH_MOVED_BYTES
+	private boolean isBetterInPreferredDomain(PendingPiece piece, PoolWorker worker) {
+		PieceJob job = piece.job();
+		if (job.crossDomainBytes() < PieceJob.LARGE_TRANSFER_BYTES
 				|| job.failureDomain().equals(worker.entry().failureDomain())) {
 			return false;
 		}
-		Optional<PoolWorker> home = this.workers.stream()
-			.filter((other) -> other.entry().failureDomain().equals(job.failureDomain()))
-			.filter((other) -> other.available(this.nowMs) && waiting.mayGoTo(other.entry().incarnation()))
+		Optional<PoolWorker> preferred = this.workers.stream()
+			.filter((candidate) -> candidate.entry().failureDomain().equals(job.failureDomain()))
+			.filter((candidate) -> candidate.isAvailable(this.nowMs) && piece.canRunAt(candidate.entry().incarnation()))
 			.min(Comparator.comparingLong(PoolWorker::expectedFreeMs));
-		if (home.isEmpty() || this.leftToOthers.merge(job.failureDomain(), 1, Integer::sum) > this.spec.batch()) {
+		if (preferred.isEmpty()
+				|| this.deferredByDomain.merge(job.failureDomain(), 1, Integer::sum) > this.spec.batch()) {
 			return false;
 		}
-		double readyAt = Math.max(home.get().expectedFreeMs(), this.nowMs)
-				+ this.spec.expectedMs(this.spec.batch()) * home.get().pace();
-		return readyAt + MARGIN_MS < (canBeOnTime(job) ? job.objectiveMs() : job.deadlineMs());
+		double completesAtMs = Math.max(preferred.get().expectedFreeMs(), this.nowMs)
+				+ this.spec.expectedMs(this.spec.batch()) * preferred.get().slowdown();
+		return completesAtMs + PREFILL_MS < (canMeetObjective(job) ? job.objectiveMs() : job.deadlineMs());
 	}
 
 	/**
-	 * A stage of a request.
+	 * Identifies a stage of a request.
 	 *
-	 * @param requestId the request
-	 * @param stage the stage's number
+	 * @param requestId the id of the request
+	 * @param stage the stage's index
 	 */
 	private record StageKey(String requestId, int stage) {
 
-		static StageKey of(PendingPiece waiting) {
-			return new StageKey(waiting.job().id().requestId(), waiting.job().id().stage());
+		static StageKey of(PendingPiece piece) {
+			return new StageKey(piece.job().id().requestId(), piece.job().id().stage());
 		}
 
 	}
--- a/core/src/main/java/org/tallycart/core/pool/CallLimiter.java
+++ b/core/src/main/java/org/tallycart/core/pool/CallLimiter.java
@@ -3,8 +3,8 @@
 import org.tallycart.core.serving.UpstreamEntry;
 
 /**
- * Tells when a worker takes another call, where it takes fewer than it has slots for, or
- * none for a time.
+ * Limits the calls of workers that accept fewer calls than they have slots, or none for a
+ * time.
  * <p>
  * Not thread-safe: belongs to the dispatcher's event loop.
  *
@@ -12,7 +12,7 @@
  */
 public interface CallLimiter {
 
-	/** No worker has a limit. */
+	/** Limiter that accepts every call. */
 	CallLimiter NONE = new CallLimiter() {
 
 		@Override
@@ -27,28 +27,29 @@
 
 		@Override
 		public void onCall(UpstreamEntry worker) {
-			// Nothing is counted.
+			// An unlimited worker needs no count.
 		}
 
 	};
 
 	/**
-	 * Return whether a worker takes a call now.
+	 * Return whether a worker accepts a call now.
 	 * @param worker the worker
 	 * @return true if it does
 	 */
 	boolean mayCall(UpstreamEntry worker);
 
 	/**
-	 * Return when a worker takes calls from this VM, by its own word.
+	 * Return the time until a worker accepts calls from this VM, as the worker has
+	 * stated.
 	 * @param worker the worker
-	 * @return milliseconds; 0 if it takes them now,
-	 * {@link org.tallycart.core.upstream.UnavailabilityRegistry#NEVER} if it leaves
+	 * @return milliseconds; 0 if it accepts calls now,
+	 * {@link org.tallycart.core.upstream.UnavailabilityRegistry#NEVER} if it is draining
 	 */
 	long acceptsInMs(UpstreamEntry worker);
 
 	/**
-	 * Take note that a worker gets a call. To be called for each.
+	 * Record a call to a worker. Must be invoked once for each call.
 	 * @param worker the worker
 	 */
 	void onCall(UpstreamEntry worker);
--- a/core/src/main/java/org/tallycart/core/pool/PendingPiece.java
+++ b/core/src/main/java/org/tallycart/core/pool/PendingPiece.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * A piece that was asked for and has no outcome yet.
+ * Submitted piece that has no outcome yet.
  * <p>
  * Not thread-safe: guarded by {@link PoolDispatcher}.
  */
@@ -14,69 +14,70 @@
 
 	private final Set<String> failedAt = new HashSet<>();
 
-	private PieceListener asker;
+	private PieceListener listener;
 
-	private int calls;
+	private int attempts;
 
 	private boolean inputsRead;
 
-	PendingPiece(PieceJob job, PieceListener asker) {
+	PendingPiece(PieceJob job, PieceListener listener) {
 		this.job = job;
-		this.asker = asker;
+		this.listener = listener;
 	}
 
 	PieceJob job() {
 		return this.job;
 	}
 
-	void replaceAsker(PieceListener other) {
-		this.asker = other;
+	void replaceListener(PieceListener other) {
+		this.listener = other;
 	}
 
-	void settle(PieceOutcome outcome) {
-		this.asker.onOutcome(this.job.id(), outcome);
+	void complete(PieceOutcome outcome) {
+		this.listener.onOutcome(this.job.id(), outcome);
 	}
 
-	// From now on the inputs may be given back, so no other worker can make the piece.
+	// The inputs may be released from now on, so the piece cannot be retried at another
+	// worker.
 	void onInputsRead() {
 		this.inputsRead = true;
-		this.asker.onInputsRead(this.job.id());
+		this.listener.onInputsRead(this.job.id());
 	}
 
 	void handBack() {
-		this.asker.onHandedBack(this.job.id());
+		this.listener.onHandedBack(this.job.id());
 	}
 
 	boolean inputsRead() {
 		return this.inputsRead;
 	}
 
-	// Whether the piece may go to a worker: not to one at which it failed before.
-	boolean mayGoTo(String worker) {
+	// A piece is not retried at a worker where it failed.
+	boolean canRunAt(String worker) {
 		return !this.failedAt.contains(worker);
 	}
 
-	void onFailedAt(String worker) {
+	void recordFailureAt(String worker) {
 		this.failedAt.add(worker);
 	}
 
-	void forgetFailuresIfAll(Set<String> workers) {
+	void clearFailuresIfAll(Set<String> workers) {
 		if (this.failedAt.containsAll(workers)) {
 			this.failedAt.clear();
 		}
 	}
 
-	int calls() {
-		return this.calls;
+	int attempts() {
+		return this.attempts;
 	}
 
-	void onCall() {
-		this.calls++;
+	void onAttempt() {
+		this.attempts++;
 	}
 
-	// Takes a call back that never began.
-	void onNoCall() {
-		this.calls--;
+	// Reverts the count of a call that the worker never started.
+	void onCallNotStarted() {
+		this.attempts--;
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/pool/PieceId.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceId.java
@@ -1,11 +1,11 @@
 package org.tallycart.core.pool;
 
 /**
- * Names a piece of work.
+ * Identifies a piece, which is one work item of a request's stage.
  *
- * @param requestId the request it is made for
- * @param stage the number of its stage
- * @param piece its number in the stage
+ * @param requestId the id of the request that the piece belongs to
+ * @param stage the index of the stage
+ * @param piece the index of the piece within its stage
  * @since 0.1
  */
 public record PieceId(String requestId, int stage, int piece) {
--- a/core/src/main/java/org/tallycart/core/pool/PieceJob.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceJob.java
@@ -5,43 +5,47 @@
 import org.tallycart.core.crash.Fingerprint;
 
 /**
- * A piece that someone asks a pool for.
+ * Describes a piece to be processed by a pool.
  *
- * @param id names the piece
- * @param fingerprint what names the request whatever its id
- * @param service the pool
- * @param key what it is made from, where it has no inputs
- * @param inputs handles of what it is made from; empty where it has a key
- * @param deadlineMs when its result is useless, on the steady clock
- * @param objectiveMs when its result has to be there for the request to be on time, what
- * comes after it included
- * @param priority the request's rank; 0 is the most urgent
- * @param failureDomain where its result is wanted
- * @param resultBytes the approximate size of its result
- * @param colocated whether its stage's results are read together, so that they are better
- * made at one worker
- * @param crossDomainBytes what crosses failure domains if it is made in another one: its
- * inputs, or its result
+ * @param id the id of the piece
+ * @param fingerprint identifies the request independently of its id
+ * @param service the name of the pool
+ * @param key the request's key that the piece is computed from; empty if it has inputs
+ * @param inputs handles of the results that the piece is computed from; empty if it has a
+ * key
+ * @param deadlineMs time from which the result is useless, on the monotonic clock
+ * @param objectiveMs time by which the result is needed for the request to meet its
+ * objective, on the monotonic clock; the stages that follow are accounted for
+ * @param priority the request's priority; 0 is the most urgent
+ * @param failureDomain the failure domain where the piece should be processed
+ * @param resultBytes the approximate size of the result, in bytes
+ * @param colocated whether the results of the stage are read together, so that its pieces
+ * should be processed by the same worker
+ * @param crossDomainBytes bytes transferred between failure domains, of the inputs or of
+ * the result, if the piece is processed in another one
  * @since 0.1
  */
 public record PieceJob(PieceId id, Fingerprint fingerprint, String service, String key, List<String> inputs,
 		long deadlineMs, long objectiveMs, int priority, String failureDomain, long resultBytes, boolean colocated,
 		long crossDomainBytes) {
 
-	/** Moving this much is worth a wait, in bytes; less costs next to nothing. */
-	static final long MUCH_MOVED_BYTES = 200_000;
+	/**
+	 * Transfers of this size justify a wait for a worker in the preferred failure domain,
+	 * in bytes.
+	 */
+	static final long LARGE_TRANSFER_BYTES = 200_000;
 
-	// Whether its inputs fill their makers' room, so that other work waits until they are
-	// read.
-	boolean inputsHoldRoom() {
-		return !this.inputs.isEmpty() && this.crossDomainBytes >= MUCH_MOVED_BYTES;
+	// Returns true if the inputs are large, so that they hold back other work at their
+	// workers until they are read.
+	boolean hasLargeInputs() {
+		return !this.inputs.isEmpty() && this.crossDomainBytes >= LARGE_TRANSFER_BYTES;
 	}
 
 	/**
-	 * Describe a piece.
-	 * @param id names it
-	 * @param service the pool
-	 * @return a builder; what it is not told is empty, zero or false
+	 * Create a builder.
+	 * @param id the id of the piece
+	 * @param service the name of the pool
+	 * @return a builder whose other values are empty, zero or false
 	 */
 	public static Builder builder(PieceId id, String service) {
 		return new Builder(id, service);
@@ -82,8 +86,8 @@
 		}
 
 		/**
-		 * Tell which request it belongs to.
-		 * @param request what names the request whatever its id
+		 * Set the fingerprint of the request.
+		 * @param request identifies the request independently of its id
 		 * @return this builder
 		 */
 		public Builder fingerprint(Fingerprint request) {
@@ -92,9 +96,9 @@
 		}
 
 		/**
-		 * Tell what the piece is made from.
-		 * @param pieceKey the request's key, used where there are no inputs
-		 * @param handles results of the stages before it
+		 * Set the source that the piece is computed from.
+		 * @param pieceKey the request's key, used if there are no inputs
+		 * @param handles handles of the results of the preceding stages
 		 * @return this builder
 		 */
 		public Builder source(String pieceKey, List<String> handles) {
@@ -104,31 +108,33 @@
 		}
 
 		/**
-		 * Tell when the result is needed.
-		 * @param byMs for the request to be on time, on the steady clock
-		 * @param uselessFromMs for it to be of any use, on the steady clock
+		 * Set the times by which the result is due.
+		 * @param dueMs time by which the request's objective can be met, on the monotonic
+		 * clock
+		 * @param latestMs deadline from which the result is useless, on the monotonic
+		 * clock
 		 * @return this builder
 		 */
-		public Builder dueBy(long byMs, long uselessFromMs) {
-			this.objectiveMs = byMs;
-			this.deadlineMs = uselessFromMs;
+		public Builder dueBy(long dueMs, long latestMs) {
+			this.objectiveMs = dueMs;
+			this.deadlineMs = latestMs;
 			return this;
 		}
 
 		/**
-		 * Tell how urgent the request is.
-		 * @param rank its rank; 0 is the most urgent
+		 * Set the request's priority.
+		 * @param value the priority; 0 is the most urgent
 		 * @return this builder
 		 */
-		public Builder priority(int rank) {
-			this.priority = rank;
+		public Builder priority(int value) {
+			this.priority = value;
 			return this;
 		}
 
 		/**
-		 * Tell where the result is wanted.
+		 * Set the failure domain where the piece should be processed.
 		 * @param domain the failure domain
-		 * @param bytes what crosses failure domains if it is made in another one
+		 * @param bytes bytes transferred between failure domains if another one is used
 		 * @return this builder
 		 */
 		public Builder preferredDomain(String domain, long bytes) {
@@ -138,9 +144,9 @@
 		}
 
 		/**
-		 * Tell of the result.
-		 * @param bytes its approximate size
-		 * @param readTogether whether its stage's results are read together
+		 * Set the properties of the result.
+		 * @param bytes its approximate size, in bytes
+		 * @param readTogether whether the results of the stage are read together
 		 * @return this builder
 		 */
 		public Builder result(long bytes, boolean readTogether) {
--- a/core/src/main/java/org/tallycart/core/pool/PieceLatencyEstimator.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceLatencyEstimator.java
@@ -5,105 +5,104 @@
 import java.util.Map;
 
 /**
- * How long pieces take at present, from the ask to the outcome, by pool and rank, as one
- * VM sees it. The dispatcher's queue is not looked at: what this VM's own pieces meet
- * tells the same without a message.
+ * Estimates the time from the submission of a piece to its outcome, by pool and priority,
+ * from the pieces that this VM has submitted. The dispatcher, which may run on another
+ * VM, is not queried.
  * <p>
- * Invariant: pieces that are waited for are counted once. Not thread-safe: belongs to one
- * event loop.
+ * Invariant: a pending piece is counted once. Not thread-safe: confined to one event
+ * loop.
  *
  * @since 0.1
  */
 public final class PieceLatencyEstimator {
 
 	/**
-	 * What a piece takes where nothing is known, in milliseconds: a call and a short wait
-	 * for it.
+	 * Estimate without recent outcomes, in milliseconds: a call and a short wait for it.
 	 */
-	public static final long USUAL_MS = 300;
+	public static final long DEFAULT_MS = 300;
 
 	/**
-	 * An outcome older than this says nothing, in milliseconds: bursts pass in seconds.
+	 * Age up to which an outcome is used, in milliseconds.
 	 */
-	private static final long RECENT_MS = 1_000;
+	private static final long MAX_OUTCOME_AGE_MS = 1_000;
 
-	private final Map<PoolPriority, LatencyRecord> tracks = new HashMap<>();
+	private final Map<PoolPriority, LatencyRecord> records = new HashMap<>();
 
-	private final Map<PieceId, LatencyRecord> waitingIn = new HashMap<>();
+	private final Map<PieceId, LatencyRecord> recordByPiece = new HashMap<>();
 
 	/**
-	 * Take note that a piece was asked for.
+	 * Record the submission of a piece.
 	 * @param job the piece
-	 * @param nowMs the steady clock
+	 * @param nowMs current time on the monotonic clock, in milliseconds
 	 */
 	public void onSubmitted(PieceJob job, long nowMs) {
-		LatencyRecord track = this.tracks.computeIfAbsent(new PoolPriority(job.service(), job.priority()),
+		LatencyRecord record = this.records.computeIfAbsent(new PoolPriority(job.service(), job.priority()),
 				(key) -> new LatencyRecord());
-		if (this.waitingIn.putIfAbsent(job.id(), track) == null) {
-			track.waiting.put(job.id(), nowMs);
+		if (this.recordByPiece.putIfAbsent(job.id(), record) == null) {
+			record.submittedMs.put(job.id(), nowMs);
 		}
 	}
 
 	/**
-	 * Take note that a piece has an outcome.
+	 * Record the outcome of a piece.
 	 * @param id the piece
-	 * @param nowMs the steady clock
+	 * @param nowMs current time on the monotonic clock, in milliseconds
 	 */
 	public void onOutcome(PieceId id, long nowMs) {
-		LatencyRecord track = this.waitingIn.remove(id);
-		Long askedMs = (track != null) ? track.waiting.remove(id) : null;
-		if (track != null && askedMs != null) {
-			track.lastMs = nowMs - askedMs;
-			track.lastAtMs = nowMs;
+		LatencyRecord record = this.recordByPiece.remove(id);
+		Long startMs = (record != null) ? record.submittedMs.remove(id) : null;
+		if (record != null && startMs != null) {
+			record.latestMs = nowMs - startMs;
+			record.latestAtMs = nowMs;
 		}
 	}
 
 	/**
-	 * Take note that a piece is not waited for any more.
+	 * Record the withdrawal of a piece.
 	 * @param id the piece
 	 */
 	public void onWithdrawn(PieceId id) {
-		LatencyRecord track = this.waitingIn.remove(id);
-		if (track != null) {
-			track.waiting.remove(id);
+		LatencyRecord record = this.recordByPiece.remove(id);
+		if (record != null) {
+			record.submittedMs.remove(id);
 		}
 	}
 
 	/**
-	 * Return how long a piece that is asked for now will probably take.
-	 * @param service its pool
-	 * @param priority the request's rank
-	 * @param nowMs the steady clock
+	 * Return the expected time from submission to outcome of a piece submitted now.
+	 * @param service the name of the pool
+	 * @param priority the request's priority
+	 * @param nowMs current time on the monotonic clock, in milliseconds
 	 * @return milliseconds
 	 */
 	public long expectedMs(String service, int priority, long nowMs) {
-		LatencyRecord track = this.tracks.get(new PoolPriority(service, priority));
-		if (track == null) {
-			return USUAL_MS;
+		LatencyRecord record = this.records.get(new PoolPriority(service, priority));
+		if (record == null) {
+			return DEFAULT_MS;
 		}
-		long oldestMs = track.waiting.values().stream().findFirst().map((askedMs) -> nowMs - askedMs).orElse(0L);
-		long lastMs = (nowMs - track.lastAtMs <= RECENT_MS) ? track.lastMs : 0;
-		return Math.max(USUAL_MS, Math.max(oldestMs, lastMs));
+		long oldestMs = record.submittedMs.values().stream().findFirst().map((startMs) -> nowMs - startMs).orElse(0L);
+		long latestMs = (nowMs - record.latestAtMs <= MAX_OUTCOME_AGE_MS) ? record.latestMs : 0;
+		return Math.max(DEFAULT_MS, Math.max(oldestMs, latestMs));
 	}
 
 	/**
-	 * What pieces are told apart by.
+	 * Key by which latencies are recorded.
 	 *
-	 * @param service the pool
-	 * @param priority the request's rank
+	 * @param service the name of the pool
+	 * @param priority the request's priority
 	 */
 	private record PoolPriority(String service, int priority) {
 	}
 
-	/** Pieces of one rank in one pool. */
+	/** Pending pieces and latest latency of one priority in one pool. */
 	private static final class LatencyRecord {
 
-		// In the order in which they were asked for.
-		private final Map<PieceId, Long> waiting = new LinkedHashMap<>();
+		// Submission times, in the order of submission.
+		private final Map<PieceId, Long> submittedMs = new LinkedHashMap<>();
 
-		private long lastMs;
+		private long latestMs;
 
-		private long lastAtMs = Long.MIN_VALUE / 2;
+		private long latestAtMs = Long.MIN_VALUE / 2;
 
 	}
 
--- a/core/src/main/java/org/tallycart/core/pool/PieceListener.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceListener.java
@@ -1,7 +1,8 @@
 package org.tallycart.core.pool;
 
 /**
- * Hears what became of a piece it asked for. It may hear late, or twice.
+ * Receives the outcome of a submitted piece. The same outcome may be delivered late or
+ * more than once.
  *
  * @since 0.1
  */
@@ -9,23 +10,23 @@
 public interface PieceListener {
 
 	/**
-	 * Take an outcome.
+	 * Handle the outcome of a piece.
 	 * @param id the piece
-	 * @param outcome what became of it
+	 * @param outcome the outcome
 	 */
 	void onOutcome(PieceId id, PieceOutcome outcome);
 
 	/**
-	 * Take note that the maker has read a piece's inputs, so that they need not be kept
-	 * for it. The piece still has to be made.
+	 * Handle the notice that the worker has read a piece's inputs, which may then be
+	 * released. The piece itself is not completed yet.
 	 * @param id the piece
 	 */
 	default void onInputsRead(PieceId id) {
 	}
 
 	/**
-	 * Take note that the dispatcher has stopped and will not have the piece made. It has
-	 * to be asked for at another one.
+	 * Handle the notice that the dispatcher has stopped without processing the piece,
+	 * which has to be submitted to another dispatcher.
 	 * @param id the piece
 	 */
 	default void onHandedBack(PieceId id) {
--- a/core/src/main/java/org/tallycart/core/pool/PieceOutcome.java
+++ b/core/src/main/java/org/tallycart/core/pool/PieceOutcome.java
@@ -1,37 +1,39 @@
 package org.tallycart.core.pool;
 
 /**
- * What became of a piece.
+ * Outcome of a piece.
  *
  * @param status the kind of outcome
- * @param handle names the result, where the piece was made; otherwise empty
- * @param retryAfterMs when the piece may be asked for again, in milliseconds, where no
- * worker takes calls; otherwise 0
+ * @param handle identifies the result of a completed piece; otherwise empty
+ * @param retryAfterMs time after which the piece may be submitted again, in milliseconds,
+ * if no worker accepts calls; otherwise 0
  * @since 0.1
  */
 public record PieceOutcome(Status status, String handle, long retryAfterMs) {
 
-	/** Kinds of outcome. */
+	/** Kind of outcome. The names are sent between VMs and logged. */
 	public enum Status {
 
-		/** The piece was made. */
+		/** The piece was completed. */
 		MADE,
-		/** It could not be ready in time, so it was not made. */
+		/** The piece could not complete before its deadline and was not processed. */
 		LATE,
-		/** One of its inputs no longer exists. */
+		/** An input of the piece no longer exists. */
 		INPUT_GONE,
-		/** The maker had no room for its result. */
+		/** The worker had no result memory left for it. */
 		NO_ROOM,
-		/** The maker failed, or cannot be reached. */
+		/** The worker failed or cannot be reached. */
 		FAILED,
-		/** All workers of the pool have said that they leave, or need rest. */
+		/**
+		 * The pool has no worker, or all of them are draining or have asked for backoff.
+		 */
 		NO_WORKER
 
 	}
 
 	/**
-	 * A piece that was made.
-	 * @param handle names the result
+	 * Create the outcome of a completed piece.
+	 * @param handle identifies the result
 	 * @return the outcome
 	 */
 	public static PieceOutcome completed(String handle) {
@@ -39,8 +41,8 @@
 	}
 
 	/**
-	 * A piece that was not made.
-	 * @param status why
+	 * Create the outcome of a piece that was not completed.
+	 * @param status the reason
 	 * @return the outcome
 	 */
 	public static PieceOutcome notCompleted(Status status) {
@@ -48,8 +50,9 @@
 	}
 
 	/**
-	 * A piece that was not made, since no worker takes calls.
-	 * @param retryAfterMs when one will, in milliseconds
+	 * Create the outcome of a piece that no worker accepts at present.
+	 * @param retryAfterMs time after which the piece may be submitted again, in
+	 * milliseconds
 	 * @return the outcome
 	 */
 	public static PieceOutcome noWorker(long retryAfterMs) {
--- a/core/src/main/java/org/tallycart/core/pool/PoolCall.java
+++ b/core/src/main/java/org/tallycart/core/pool/PoolCall.java
@@ -5,13 +5,13 @@
 import org.tallycart.core.serving.UpstreamEntry;
 
 /**
- * A call that the dispatcher wants made.
+ * Call to a worker that the dispatcher has scheduled.
  *
- * @param number names the call
- * @param worker where to
- * @param jobs the pieces it holds, in order
- * @param startedMs when it began, on the steady clock
- * @param expectedMs how long it should take at the worker's pace, in milliseconds
+ * @param number identifies the call within its dispatcher
+ * @param worker the worker to call
+ * @param jobs the pieces of the call, in the order of their outcomes
+ * @param startedMs time at which the call was scheduled, on the monotonic clock
+ * @param expectedMs expected duration at this worker, in milliseconds
  * @since 0.1
  */
 public record PoolCall(long number, UpstreamEntry worker, List<PieceJob> jobs, long startedMs, double expectedMs) {
--- a/core/src/main/java/org/tallycart/core/pool/PoolDispatcher.java
+++ b/core/src/main/java/org/tallycart/core/pool/PoolDispatcher.java
@@ -13,182 +13,185 @@
 import org.tallycart.core.upstream.UnavailabilityRegistry;
 
 /**
- * Puts the pieces of many requests into calls of one pool's workers.
+ * Batches the pieces of many requests into calls to the workers of one pool.
  * <p>
- * A call costs a fixed time whatever it holds, so pieces wait for company, but only while
- * no worker is idle. {@link QueueOrder} tells which come first, {@link BatchSelector}
- * which go together.
+ * A call has a fixed cost, so pieces are batched, but they wait for others only while no
+ * worker is idle. {@link QueueOrder} sorts the queue and {@link BatchSelector} selects
+ * the pieces of a call.
  * <p>
- * Invariants: no worker has more calls than slots; a piece is in the queue or in calls,
- * and each asker hears one outcome unless it withdraws; no worker gets a call that leaves
- * or rests, or whose failure domain is evacuated; a piece does not wait while all do. Not
- * thread-safe.
+ * Invariants: a worker has no more calls than slots; a pending piece is in the queue or
+ * in calls, and its listener receives one outcome unless the piece is withdrawn or handed
+ * back; no call goes to a worker that is draining, has asked for backoff or is in an
+ * evacuated failure domain; a piece is not queued while all workers are draining or in
+ * backoff. Not thread-safe.
  *
  * @since 0.1
  */
 public final class PoolDispatcher {
 
-	/** How long a worker without room for results gets no pieces, in milliseconds. */
-	private static final long NO_ROOM_PAUSE_MS = 60;
+	/** Pause of a worker whose result memory is full, in milliseconds. */
+	private static final long MEMORY_FULL_PAUSE_MS = 60;
 
 	/**
-	 * When a piece may be asked for again where all workers leave, in milliseconds:
-	 * others that take their place are listed within about a heartbeat.
+	 * Retry time stated if all workers are draining, in milliseconds: replacements are
+	 * listed within about one heartbeat.
 	 */
 	private static final long NO_WORKER_RETRY_MS = 1_000;
 
-	/** Calls that may be tried for one piece: the first, and two more after failures. */
+	/** Maximum number of calls for one piece, the first one included. */
 	private static final int MAX_CALLS = 3;
 
 	private final PoolWorkers workers;
 
-	private final CallLimiter limit;
+	private final CallLimiter callLimiter;
 
-	private final Map<PieceId, PendingPiece> pieces = new HashMap<>();
+	private final Map<PieceId, PendingPiece> pendingPieces = new HashMap<>();
 
 	private final List<PendingPiece> queue = new ArrayList<>();
 
 	private final RunningCalls calls = new RunningCalls();
 
-	private final ResultMemory room = new ResultMemory();
+	private final ResultMemory resultMemory = new ResultMemory();
 
 	private PoolSpec spec;
 
-	private long lastCall;
+	private long lastCallNumber;
 
 	private boolean stopped;
 
 	private boolean workersKnown;
 
 	/**
-	 * Create a dispatcher.
-	 * @param spec what a worker can do
+	 * Create a dispatcher of a pool whose workers accept as many calls as they have
+	 * slots.
+	 * @param spec the capacity of a worker
 	 */
 	public PoolDispatcher(PoolSpec spec) {
 		this(spec, CallLimiter.NONE);
 	}
 
 	/**
-	 * Create a dispatcher of a pool whose workers may take fewer calls than they have
-	 * slots for.
-	 * @param spec what a worker can do
-	 * @param limit tells when a worker takes another call
+	 * Create a dispatcher of a pool whose workers may accept fewer calls than they have
+	 * slots.
+	 * @param spec the capacity of a worker
+	 * @param callLimiter the limiter of calls to workers
 	 */
-	public PoolDispatcher(PoolSpec spec, CallLimiter limit) {
+	public PoolDispatcher(PoolSpec spec, CallLimiter callLimiter) {
 		this.spec = spec;
-		this.limit = limit;
-		this.workers = new PoolWorkers(limit);
+		this.callLimiter = callLimiter;
+		this.workers = new PoolWorkers(callLimiter);
 	}
 
 	/**
-	 * Take what a worker can do, from a new configuration.
-	 * @param fresh what it can do
+	 * Set the capacity of a worker, from a new configuration.
+	 * @param newSpec the capacity
 	 */
-	public void updateSpec(PoolSpec fresh) {
-		this.spec = fresh;
+	public void updateSpec(PoolSpec newSpec) {
+		this.spec = newSpec;
 	}
 
 	/**
-	 * Take the workers that exist now. Before that is known pieces wait.
-	 * @param entries the workers
-	 * @param evacuated failure domains whose workers get no calls
+	 * Update the workers of the pool. Pieces are queued until the first update.
+	 * @param entries the listed workers
+	 * @param evacuated the evacuated failure domains, whose workers get no calls
 	 */
 	public void updateWorkers(List<UpstreamEntry> entries, Set<String> evacuated) {
 		this.workersKnown = true;
 		this.workers.update(entries);
-		this.workers.close(evacuated);
+		this.workers.setEvacuatedDomains(evacuated);
 	}
 
 	/**
-	 * Ask for a piece. A second ask for a piece replaces the first one's asker.
+	 * Submit a piece. If the piece is already pending, only its listener is replaced.
 	 * @param job the piece
-	 * @param asker hears its outcome
+	 * @param listener receives the outcome
 	 */
-	public void submit(PieceJob job, PieceListener asker) {
-		PendingPiece known = this.pieces.get(job.id());
-		if (known != null) {
-			known.replaceAsker(asker);
+	public void submit(PieceJob job, PieceListener listener) {
+		PendingPiece pending = this.pendingPieces.get(job.id());
+		if (pending != null) {
+			pending.replaceListener(listener);
 			return;
 		}
-		PendingPiece waiting = new PendingPiece(job, asker);
-		this.pieces.put(job.id(), waiting);
-		enqueue(waiting);
+		PendingPiece piece = new PendingPiece(job, listener);
+		this.pendingPieces.put(job.id(), piece);
+		enqueue(piece);
 	}
 
 	/**
-	 * Begin no call any more. Pieces that wait, and those that would have to be tried
-	 * again, are handed back to their askers; calls in progress end as usual.
+	 * Stop scheduling calls. Queued pieces, and those that would have to be retried, are
+	 * handed back to their listeners; calls in progress end as usual.
 	 */
 	public void stop() {
 		this.stopped = true;
 		new ArrayList<>(this.queue).forEach(this::handBack);
 	}
 
-	private void handBack(PendingPiece waiting) {
-		this.pieces.remove(waiting.job().id());
-		this.queue.remove(waiting);
-		waiting.handBack();
+	private void handBack(PendingPiece piece) {
+		this.pendingPieces.remove(piece.job().id());
+		this.queue.remove(piece);
+		piece.handBack();
 	}
 
-	/** Begin calls again, where no other dispatcher could be found. */
+	/** Resume scheduling calls, if no other dispatcher was found. */
 	public void resume() {
 		this.stopped = false;
 	}
 
 	/**
-	 * Withdraw a piece. A call that holds it goes on; its result is given back as unused.
+	 * Withdraw a piece. A call that contains it continues, and its result is returned as
+	 * unused by {@link #onAnswer}.
 	 * @param id the piece
 	 */
 	public void withdraw(PieceId id) {
-		PendingPiece known = this.pieces.remove(id);
-		if (known != null) {
-			this.queue.remove(known);
+		PendingPiece pending = this.pendingPieces.remove(id);
+		if (pending != null) {
+			this.queue.remove(pending);
 		}
 	}
 
 	/**
-	 * Choose the next call to make, if a worker is idle and pieces wait.
-	 * @param nowMs the steady clock
-	 * @return the call; ask again until there is none
+	 * Schedule the next call, if a worker is idle and pieces are queued.
+	 * @param nowMs current time on the monotonic clock, in milliseconds
+	 * @return the call, or empty if there is none; to be invoked until it is empty
 	 */
 	public Optional<PoolCall> nextCall(long nowMs) {
-		giveUpLate(nowMs);
-		giveUpWithoutWorkers();
+		failExpired(nowMs);
+		failWithoutWorkers();
 		if (this.queue.isEmpty()) {
 			return Optional.empty();
 		}
-		this.room.expire(nowMs);
-		List<PoolWorker> idle = this.workers.idle(this.spec, this.room, this.queue.size(), nowMs);
-		if (idle.isEmpty()) {
+		this.resultMemory.expire(nowMs);
+		List<PoolWorker> idleWorkers = this.workers.idleWorkers(this.spec, this.resultMemory, this.queue.size(), nowMs);
+		if (idleWorkers.isEmpty()) {
 			return Optional.empty();
 		}
-		BatchSelector chooser = new BatchSelector(this.spec, this.workers.callable(nowMs), this.room, idle.size(),
-				nowMs);
-		List<PendingPiece> ordered = order(nowMs).of(this.queue);
-		for (PoolWorker worker : idle) {
-			List<PendingPiece> chosen = chooser.choose(worker, ordered);
-			if (!chosen.isEmpty()) {
-				return Optional.of(start(worker, chosen, nowMs));
+		BatchSelector selector = new BatchSelector(this.spec, this.workers.acceptingWorkers(nowMs), this.resultMemory,
+				idleWorkers.size(), nowMs);
+		List<PendingPiece> ordered = queueOrder(nowMs).sort(this.queue);
+		for (PoolWorker worker : idleWorkers) {
+			List<PendingPiece> selected = selector.select(worker, ordered);
+			if (!selected.isEmpty()) {
+				return Optional.of(start(worker, selected, nowMs));
 			}
 		}
 		return Optional.empty();
 	}
 
-	private QueueOrder order(long nowMs) {
-		return new QueueOrder(this.spec, this.workers.available(nowMs), nowMs);
+	private QueueOrder queueOrder(long nowMs) {
+		return new QueueOrder(this.spec, this.workers.acceptingCount(nowMs), nowMs);
 	}
 
-	private PoolCall start(PoolWorker worker, List<PendingPiece> chosen, long nowMs) {
-		this.queue.removeAll(chosen);
-		double expectedMs = this.spec.expectedMs(chosen.size()) * Math.max(worker.pace(), 1);
+	private PoolCall start(PoolWorker worker, List<PendingPiece> selected, long nowMs) {
+		this.queue.removeAll(selected);
+		double expectedMs = this.spec.expectedMs(selected.size()) * Math.max(worker.slowdown(), 1);
 		worker.onStart(nowMs, expectedMs);
-		this.limit.onCall(worker.entry());
-		this.lastCall++;
-		List<PieceJob> jobs = chosen.stream().map(PendingPiece::job).toList();
-		chosen.forEach(PendingPiece::onCall);
-		this.room.reserve(worker.entry().incarnation(), resultBytes(jobs));
-		PoolCall call = new PoolCall(this.lastCall, worker.entry(), jobs, nowMs, expectedMs);
-		this.calls.add(call, worker.idleForSure());
+		this.callLimiter.onCall(worker.entry());
+		this.lastCallNumber++;
+		List<PieceJob> jobs = selected.stream().map(PendingPiece::job).toList();
+		selected.forEach(PendingPiece::onAttempt);
+		this.resultMemory.reserve(worker.entry().incarnation(), resultBytes(jobs));
+		PoolCall call = new PoolCall(this.lastCallNumber, worker.entry(), jobs, nowMs, expectedMs);
+		this.calls.add(call, worker.isKnownIdle());
 		return call;
 	}
 
@@ -197,21 +200,22 @@
 	}
 
 	/**
-	 * Take the outcomes of a call.
-	 * @param number the call
-	 * @param outcomes one for each of its pieces, in their order
-	 * @param nowMs the steady clock
-	 * @return handles of results that nobody waits for any more
+	 * Handle the reply to a call.
+	 * @param number the number of the call
+	 * @param outcomes one outcome for each piece of the call, in the same order
+	 * @param nowMs current time on the monotonic clock, in milliseconds
+	 * @return handles of the results whose pieces are no longer pending
 	 */
 	public List<String> onAnswer(long number, List<PieceOutcome> outcomes, long nowMs) {
 		PoolCall call = end(number);
-		InvariantViolation.check(outcomes.size() == call.jobs().size(), "a call's outcomes do not match its pieces");
-		this.workers.find(call.worker()).ifPresent((worker) -> learn(worker, call, outcomes, nowMs));
+		InvariantViolation.check(outcomes.size() == call.jobs().size(),
+				"call " + number + ": expected " + call.jobs().size() + " outcomes, got " + outcomes.size());
+		this.workers.find(call.worker()).ifPresent((worker) -> updateWorker(worker, call, outcomes, nowMs));
 		List<String> unused = new ArrayList<>();
 		for (int i = 0; i < outcomes.size(); i++) {
 			PieceJob job = call.jobs().get(i);
 			if (outcomes.get(i).status() == PieceOutcome.Status.MADE) {
-				this.room.hold(call.worker().incarnation(), outcomes.get(i).handle(), job.resultBytes(),
+				this.resultMemory.store(call.worker().incarnation(), outcomes.get(i).handle(), job.resultBytes(),
 						nowMs + this.spec.handleTtlMs());
 			}
 			onOutcome(call, job, outcomes.get(i), unused);
@@ -219,178 +223,179 @@
 		return unused;
 	}
 
-	private void learn(PoolWorker worker, PoolCall call, List<PieceOutcome> outcomes, long nowMs) {
+	private void updateWorker(PoolWorker worker, PoolCall call, List<PieceOutcome> outcomes, long nowMs) {
 		worker.onAnswer();
-		long worked = outcomes.stream().filter((outcome) -> outcome.status() == PieceOutcome.Status.MADE).count();
-		if (worked > 0) {
-			worker.onDone(nowMs - call.startedMs(), this.spec.expectedMs((int) worked));
+		long completed = outcomes.stream().filter((outcome) -> outcome.status() == PieceOutcome.Status.MADE).count();
+		if (completed > 0) {
+			worker.onCompleted(nowMs - call.startedMs(), this.spec.expectedMs((int) completed));
 		}
 		if (outcomes.stream().anyMatch((outcome) -> outcome.status() == PieceOutcome.Status.NO_ROOM)) {
-			worker.onNoRoom(nowMs + NO_ROOM_PAUSE_MS);
+			worker.onMemoryFull(nowMs + MEMORY_FULL_PAUSE_MS);
 		}
 	}
 
 	/**
-	 * Take note that results are given back to their makers.
-	 * @param handles the results
+	 * Record the release of results at their workers.
+	 * @param handles the handles of the results
 	 */
 	public void release(List<String> handles) {
-		handles.forEach(this.room::release);
+		handles.forEach(this.resultMemory::release);
 	}
 
 	private void onOutcome(PoolCall call, PieceJob job, PieceOutcome outcome, List<String> unused) {
-		PendingPiece waiting = this.pieces.get(job.id());
-		if (waiting == null) {
+		PendingPiece piece = this.pendingPieces.get(job.id());
+		if (piece == null) {
 			if (outcome.status() == PieceOutcome.Status.MADE) {
 				unused.add(outcome.handle());
 			}
 			return;
 		}
 		switch (outcome.status()) {
-			case MADE, LATE, INPUT_GONE -> settle(waiting, outcome);
+			case MADE, LATE, INPUT_GONE -> complete(piece, outcome);
 			case NO_ROOM -> {
-				waiting.onNoCall();
-				enqueue(waiting);
+				piece.onCallNotStarted();
+				enqueue(piece);
 			}
-			case FAILED, NO_WORKER -> tryAgain(waiting, call.worker().incarnation(), outcome);
+			case FAILED, NO_WORKER -> retry(piece, call.worker().incarnation(), outcome);
 		}
 	}
 
 	/**
-	 * Take note that a call has no usable answer.
-	 * @param number the call
-	 * @param begun whether the worker may have begun it
-	 * @param nowMs the steady clock
+	 * Handle the failure of a call, or an unusable reply to it.
+	 * @param number the number of the call
+	 * @param started whether the worker may have started the call
+	 * @param nowMs current time on the monotonic clock, in milliseconds
 	 */
-	public void onFailure(long number, boolean begun, long nowMs) {
+	public void onFailure(long number, boolean started, long nowMs) {
 		PoolCall call = end(number);
-		this.workers.find(call.worker()).ifPresent((worker) -> worker.onFailed(nowMs));
+		this.workers.find(call.worker()).ifPresent((worker) -> worker.onFailure(nowMs));
 		PieceOutcome failed = PieceOutcome.notCompleted(PieceOutcome.Status.FAILED);
 		for (PieceJob job : call.jobs()) {
-			PendingPiece waiting = this.pieces.get(job.id());
-			if (waiting != null && begun) {
-				tryAgain(waiting, call.worker().incarnation(), failed);
+			PendingPiece piece = this.pendingPieces.get(job.id());
+			if (piece != null && started) {
+				retry(piece, call.worker().incarnation(), failed);
 			}
-			else if (waiting != null) {
-				waiting.onNoCall();
-				enqueue(waiting);
+			else if (piece != null) {
+				piece.onCallNotStarted();
+				enqueue(piece);
 			}
 		}
 	}
 
 	private PoolCall end(long number) {
 		PoolCall call = this.calls.end(number);
-		this.room.unreserve(call.worker().incarnation(), resultBytes(call.jobs()));
+		this.resultMemory.unreserve(call.worker().incarnation(), resultBytes(call.jobs()));
 		this.workers.find(call.worker()).ifPresent(PoolWorker::onEnd);
 		return call;
 	}
 
-	private void tryAgain(PendingPiece waiting, String failedAt, PieceOutcome outcome) {
-		if (waiting.inputsRead()) {
-			settle(waiting, PieceOutcome.notCompleted(PieceOutcome.Status.INPUT_GONE));
+	private void retry(PendingPiece piece, String failedAt, PieceOutcome outcome) {
+		if (piece.inputsRead()) {
+			complete(piece, PieceOutcome.notCompleted(PieceOutcome.Status.INPUT_GONE));
 			return;
 		}
-		waiting.onFailedAt(failedAt);
-		if (waiting.calls() >= MAX_CALLS) {
-			settle(waiting, outcome);
+		piece.recordFailureAt(failedAt);
+		if (piece.attempts() >= MAX_CALLS) {
+			complete(piece, outcome);
 			return;
 		}
-		waiting.forgetFailuresIfAll(this.workers.ids());
-		enqueue(waiting);
+		piece.clearFailuresIfAll(this.workers.incarnations());
+		enqueue(piece);
 	}
 
-	private void enqueue(PendingPiece waiting) {
+	private void enqueue(PendingPiece piece) {
 		if (this.stopped) {
-			handBack(waiting);
+			handBack(piece);
 		}
-		else if (!this.queue.contains(waiting)) {
-			this.queue.add(waiting);
+		else if (!this.queue.contains(piece)) {
+			this.queue.add(piece);
 		}
 	}
 
-	private void settle(PendingPiece waiting, PieceOutcome outcome) {
-		this.pieces.remove(waiting.job().id());
-		this.queue.remove(waiting);
-		waiting.settle(outcome);
+	private void complete(PendingPiece piece, PieceOutcome outcome) {
+		this.pendingPieces.remove(piece.job().id());
+		this.queue.remove(piece);
+		piece.complete(outcome);
 	}
 
 	/**
-	 * Give up waiting pieces that cannot be ready in time, and put the pieces of overdue
-	 * calls back into the queue, so that another worker makes them.
-	 * @param nowMs the steady clock
+	 * Fail queued pieces that cannot meet their deadline, shed excess late work, report
+	 * inputs that have been read, and queue the pieces of overdue calls again for another
+	 * worker.
+	 * @param nowMs current time on the monotonic clock, in milliseconds
 	 */
 	public void tick(long nowMs) {
-		giveUpLate(nowMs);
-		giveUpTooMuch(nowMs);
-		for (PoolCall call : this.calls.takeRead(nowMs)) {
-			call.jobs().stream().filter(PieceJob::inputsHoldRoom).forEach(this::onInputsRead);
+		failExpired(nowMs);
+		shedExcess(nowMs);
+		for (PoolCall call : this.calls.takeInputsRead(nowMs)) {
+			call.jobs().stream().filter(PieceJob::hasLargeInputs).forEach(this::onInputsRead);
 		}
 		this.calls.takeOverdue(nowMs).forEach((call) -> onOverdue(call, nowMs - call.startedMs()));
 	}
 
 	private void onInputsRead(PieceJob job) {
-		PendingPiece waiting = this.pieces.get(job.id());
-		if (waiting != null) {
-			waiting.onInputsRead();
+		PendingPiece piece = this.pendingPieces.get(job.id());
+		if (piece != null) {
+			piece.onInputsRead();
 		}
 	}
 
-	// Refused now, a caller may come again when there is room; held, it would be refused
-	// in the end.
-	private void giveUpTooMuch(long nowMs) {
+	// A piece that would fail in the end is failed at once, so that the caller can retry
+	// when the pool has capacity.
+	private void shedExcess(long nowMs) {
 		PieceOutcome late = PieceOutcome.notCompleted(PieceOutcome.Status.LATE);
-		order(nowMs).tooMuch(this.queue).forEach((waiting) -> settle(waiting, late));
+		queueOrder(nowMs).findExcess(this.queue).forEach((piece) -> complete(piece, late));
 	}
 
-	// Held until a rest ends, all callers would come at the same moment, and those whose
-	// time is over by then would have waited for nothing.
-	private void giveUpWithoutWorkers() {
+	// Pieces queued until a backoff ends would all start at the same moment, and some
+	// would have missed their deadline by then.
+	private void failWithoutWorkers() {
 		if (this.queue.isEmpty() || !this.workersKnown) {
 			return;
 		}
 		long acceptsInMs = this.workers.acceptsInMs();
 		if (acceptsInMs > 0) {
 			long retryMs = (acceptsInMs == UnavailabilityRegistry.NEVER) ? NO_WORKER_RETRY_MS : acceptsInMs;
-			new ArrayList<>(this.queue).forEach((waiting) -> settle(waiting, PieceOutcome.noWorker(retryMs)));
+			new ArrayList<>(this.queue).forEach((piece) -> complete(piece, PieceOutcome.noWorker(retryMs)));
 		}
 	}
 
-	private void giveUpLate(long nowMs) {
+	private void failExpired(long nowMs) {
 		PieceOutcome late = PieceOutcome.notCompleted(PieceOutcome.Status.LATE);
 		double shortestMs = this.spec.expectedMs(1);
-		for (PendingPiece waiting : new ArrayList<>(this.queue)) {
-			if (nowMs + shortestMs > waiting.job().deadlineMs()) {
-				settle(waiting, late);
+		for (PendingPiece piece : new ArrayList<>(this.queue)) {
+			if (nowMs + shortestMs > piece.job().deadlineMs()) {
+				complete(piece, late);
 			}
 		}
 	}
 
-	private void onOverdue(PoolCall call, double tookMs) {
+	private void onOverdue(PoolCall call, double elapsedMs) {
 		this.workers.find(call.worker())
-			.ifPresent((worker) -> worker.onOverdue(tookMs, this.spec.expectedMs(call.jobs().size())));
+			.ifPresent((worker) -> worker.onOverdue(elapsedMs, this.spec.expectedMs(call.jobs().size())));
 		for (PieceJob job : call.jobs()) {
-			PendingPiece waiting = this.pieces.get(job.id());
-			if (waiting != null && waiting.inputsRead()) {
-				settle(waiting, PieceOutcome.notCompleted(PieceOutcome.Status.INPUT_GONE));
+			PendingPiece piece = this.pendingPieces.get(job.id());
+			if (piece != null && piece.inputsRead()) {
+				complete(piece, PieceOutcome.notCompleted(PieceOutcome.Status.INPUT_GONE));
 			}
-			else if (waiting != null && waiting.calls() < MAX_CALLS) {
-				waiting.onFailedAt(call.worker().incarnation());
-				enqueue(waiting);
+			else if (piece != null && piece.attempts() < MAX_CALLS) {
+				piece.recordFailureAt(call.worker().incarnation());
+				enqueue(piece);
 			}
 		}
 	}
 
 	/**
-	 * Return how many pieces wait for a call.
-	 * @return the count
+	 * Return the number of queued pieces.
+	 * @return the number of pieces in the queue
 	 */
 	public int queueSize() {
 		return this.queue.size();
 	}
 
 	/**
-	 * Return how many calls are in progress.
-	 * @return the count
+	 * Return the number of calls in progress.
+	 * @return the number of calls
 	 */
 	public int callsInProgress() {
 		return this.calls.count();
--- a/core/src/main/java/org/tallycart/core/pool/PoolWorker.java
+++ b/core/src/main/java/org/tallycart/core/pool/PoolWorker.java
@@ -3,30 +3,30 @@
 import org.tallycart.core.serving.UpstreamEntry;
 
 /**
- * What the dispatcher knows of one worker of its pool.
+ * State of one worker of a pool, as known to the dispatcher.
  * <p>
  * Not thread-safe: guarded by {@link PoolDispatcher}.
  */
 final class PoolWorker {
 
 	/**
-	 * Weight of the newest call in the pace. A third follows a change within a few calls.
+	 * Weight of the newest call in the moving average of the slowdown.
 	 */
-	private static final double PACE_WEIGHT = 0.35;
+	private static final double SLOWDOWN_WEIGHT = 0.35;
 
-	/** First pause after a failure, in milliseconds; below a call's length. */
+	/** Pause after a first failure, in milliseconds. */
 	private static final long FIRST_PAUSE_MS = 150;
 
 	/**
-	 * Longest pause, in milliseconds: a worker that is back is used again in a second.
+	 * Upper bound of the pause, which doubles with each failure, in milliseconds.
 	 */
-	private static final long LONGEST_PAUSE_MS = 1_000;
+	private static final long MAX_PAUSE_MS = 1_000;
 
 	private UpstreamEntry entry;
 
 	private int running;
 
-	private double pace = 1;
+	private double slowdown = 1;
 
 	private long pausedUntilMs;
 
@@ -34,9 +34,9 @@
 
 	private long expectedFreeMs;
 
-	private boolean idleForSure;
+	private boolean knownIdle;
 
-	private boolean closed;
+	private boolean evacuated;
 
 	PoolWorker(UpstreamEntry entry) {
 		this.entry = entry;
@@ -46,45 +46,45 @@
 		return this.entry;
 	}
 
-	void update(UpstreamEntry fresh) {
-		this.entry = fresh;
+	void update(UpstreamEntry newEntry) {
+		this.entry = newEntry;
 	}
 
-	boolean idle(int slots, long nowMs) {
-		return this.running < slots && available(nowMs);
+	boolean isIdle(int slots, long nowMs) {
+		return this.running < slots && isAvailable(nowMs);
 	}
 
-	// Whether it gets no calls, although it works: its failure domain is evacuated.
-	void setClosed(boolean noCalls) {
-		this.closed = noCalls;
+	// A worker in an evacuated failure domain gets no calls.
+	void setEvacuated(boolean value) {
+		this.evacuated = value;
 	}
 
-	boolean available(long nowMs) {
-		return !this.entry.draining() && !this.closed && nowMs >= this.pausedUntilMs;
+	boolean isAvailable(long nowMs) {
+		return !this.entry.draining() && !this.evacuated && nowMs >= this.pausedUntilMs;
 	}
 
-	boolean closed() {
-		return this.closed;
+	boolean isEvacuated() {
+		return this.evacuated;
 	}
 
-	// Calls take this many times as long as at a worker of ordinary speed.
-	double pace() {
-		return this.pace;
+	// Duration of this worker's calls in relation to their nominal duration.
+	double slowdown() {
+		return this.slowdown;
 	}
 
 	long expectedFreeMs() {
 		return this.expectedFreeMs;
 	}
 
-	// Whether a call that is sent now is begun at once. A worker may still be busy with a
-	// call that was given up, or that another dispatcher sent; an answer shows that it is
-	// not.
-	boolean idleForSure() {
-		return this.idleForSure;
+	// Returns true if a call that is sent now starts at once. A worker may still run a
+	// call that timed out here or that another dispatcher sent; a reply shows that it
+	// does not.
+	boolean isKnownIdle() {
+		return this.knownIdle;
 	}
 
 	void onAnswer() {
-		this.idleForSure = true;
+		this.knownIdle = true;
 	}
 
 	void onStart(long nowMs, double expectedMs) {
@@ -96,23 +96,23 @@
 		this.running--;
 	}
 
-	void onDone(double tookMs, double expectedMs) {
-		this.pace += PACE_WEIGHT * (tookMs / expectedMs - this.pace);
+	void onCompleted(double tookMs, double expectedMs) {
+		this.slowdown += SLOWDOWN_WEIGHT * (tookMs / expectedMs - this.slowdown);
 		this.pauseMs = FIRST_PAUSE_MS;
 	}
 
 	void onOverdue(double tookMs, double expectedMs) {
-		this.pace = Math.max(this.pace, tookMs / expectedMs);
+		this.slowdown = Math.max(this.slowdown, tookMs / expectedMs);
 	}
 
-	void onNoRoom(long untilMs) {
+	void onMemoryFull(long untilMs) {
 		this.pausedUntilMs = Math.max(this.pausedUntilMs, untilMs);
 	}
 
-	void onFailed(long nowMs) {
-		this.idleForSure = false;
+	void onFailure(long nowMs) {
+		this.knownIdle = false;
 		this.pausedUntilMs = nowMs + this.pauseMs;
-		this.pauseMs = Math.min(this.pauseMs * 2, LONGEST_PAUSE_MS);
+		this.pauseMs = Math.min(this.pauseMs * 2, MAX_PAUSE_MS);
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/pool/PoolWorkers.java
+++ b/core/src/main/java/org/tallycart/core/pool/PoolWorkers.java
@@ -15,28 +15,28 @@
 import org.tallycart.core.upstream.UnavailabilityRegistry;
 
 /**
- * The workers of a pool, and which of them gets the next call.
+ * Workers of a pool, and the choice of the worker for the next call.
  * <p>
- * Invariant: a worker keeps what is known of it as long as it is listed. Not thread-safe:
- * guarded by {@link PoolDispatcher}.
+ * Invariant: the state of a worker is kept as long as the worker is listed. Not
+ * thread-safe: guarded by {@link PoolDispatcher}.
  */
 final class PoolWorkers {
 
 	/**
-	 * A worker this many times slower than the fastest gets no call while others are
-	 * idle.
+	 * A worker this many times slower than the fastest gets a call only for a large
+	 * backlog.
 	 */
-	private static final double SLOW_PACE = 1.8;
+	private static final double SLOW_WORKER_FACTOR = 1.8;
 
-	/** Paces that differ by less than one part of this are taken as equal. */
-	private static final double PACE_STEPS = 2;
+	/** Slowdowns are compared in steps of 1 / {@code SLOWDOWN_STEPS}, rounded. */
+	private static final double SLOWDOWN_STEPS = 2;
 
 	private final Map<String, PoolWorker> workers = new LinkedHashMap<>();
 
-	private final CallLimiter limit;
+	private final CallLimiter callLimiter;
 
-	PoolWorkers(CallLimiter limit) {
-		this.limit = limit;
+	PoolWorkers(CallLimiter callLimiter) {
+		this.callLimiter = callLimiter;
 	}
 
 	void update(List<UpstreamEntry> entries) {
@@ -54,39 +54,40 @@
 		this.workers.keySet().retainAll(present);
 	}
 
-	void close(Set<String> failureDomains) {
+	void setEvacuatedDomains(Set<String> failureDomains) {
 		this.workers.values()
-			.forEach((worker) -> worker.setClosed(failureDomains.contains(worker.entry().failureDomain())));
+			.forEach((worker) -> worker.setEvacuated(failureDomains.contains(worker.entry().failureDomain())));
 	}
 
-	// Those that may get a call now or when they are idle.
-	Collection<PoolWorker> callable(long nowMs) {
-		return this.workers.values().stream().filter((worker) -> callable(worker, nowMs)).toList();
+	// Workers that accept a call now or as soon as they are idle.
+	Collection<PoolWorker> acceptingWorkers(long nowMs) {
+		return this.workers.values().stream().filter((worker) -> isAccepting(worker, nowMs)).toList();
 	}
 
-	private boolean callable(PoolWorker worker, long nowMs) {
-		return worker.available(nowMs) && acceptsInMs(worker) == 0 && this.limit.mayCall(worker.entry());
+	private boolean isAccepting(PoolWorker worker, long nowMs) {
+		return worker.isAvailable(nowMs) && acceptsInMs(worker) == 0 && this.callLimiter.mayCall(worker.entry());
 	}
 
-	// When the first worker takes calls, by their own words; NEVER if there is none that
-	// does not leave. Evacuated ones may be taken back at any moment.
+	// Returns the time until the first worker accepts calls, as stated by the workers;
+	// NEVER if all are draining. Workers in evacuated domains are left out, since an
+	// evacuation may be revoked at any time: 0 if there are no others.
 	long acceptsInMs() {
 		if (this.workers.isEmpty()) {
 			return UnavailabilityRegistry.NEVER;
 		}
 		return this.workers.values()
 			.stream()
-			.filter((worker) -> !worker.closed())
+			.filter((worker) -> !worker.isEvacuated())
 			.mapToLong(this::acceptsInMs)
 			.min()
 			.orElse(0);
 	}
 
 	private long acceptsInMs(PoolWorker worker) {
-		return worker.entry().draining() ? UnavailabilityRegistry.NEVER : this.limit.acceptsInMs(worker.entry());
+		return worker.entry().draining() ? UnavailabilityRegistry.NEVER : this.callLimiter.acceptsInMs(worker.entry());
 	}
 
-	Set<String> ids() {
+	Set<String> incarnations() {
 		return this.workers.keySet();
 	}
 
@@ -94,29 +95,30 @@
 		return Optional.ofNullable(this.workers.get(entry.incarnation()));
 	}
 
-	int available(long nowMs) {
-		return callable(nowMs).size();
+	int acceptingCount(long nowMs) {
+		return acceptingWorkers(nowMs).size();
 	}
 
-	// Fast workers come first, and among those the one with most room for results.
-	List<PoolWorker> idle(PoolSpec spec, ResultMemory room, int waiting, long nowMs) {
-		List<PoolWorker> idle = new ArrayList<>();
-		Collection<PoolWorker> callable = callable(nowMs);
-		double fastest = callable.stream().mapToDouble(PoolWorker::pace).min().orElse(1);
-		for (PoolWorker worker : callable) {
-			boolean slow = worker.pace() > fastest * SLOW_PACE && waiting <= backlogForSlow(spec);
-			if (worker.idle(spec.slots(), nowMs) && !slow) {
-				idle.add(worker);
+	// Sorts fast workers first, and equally fast ones by used result memory, the least
+	// first.
+	List<PoolWorker> idleWorkers(PoolSpec spec, ResultMemory resultMemory, int queuedPieces, long nowMs) {
+		List<PoolWorker> idleWorkers = new ArrayList<>();
+		Collection<PoolWorker> accepting = acceptingWorkers(nowMs);
+		double fastest = accepting.stream().mapToDouble(PoolWorker::slowdown).min().orElse(1);
+		for (PoolWorker worker : accepting) {
+			boolean slow = worker.slowdown() > fastest * SLOW_WORKER_FACTOR && queuedPieces <= slowWorkerBacklog(spec);
+			if (worker.isIdle(spec.slots(), nowMs) && !slow) {
+				idleWorkers.add(worker);
 			}
 		}
-		idle.sort(Comparator.<PoolWorker>comparingLong((worker) -> Math.round(worker.pace() * PACE_STEPS))
-			.thenComparingLong((worker) -> room.taken(worker.entry().incarnation())));
-		return idle;
+		idleWorkers
+			.sort(Comparator.<PoolWorker>comparingLong((worker) -> Math.round(worker.slowdown() * SLOWDOWN_STEPS))
+				.thenComparingLong((worker) -> resultMemory.usedBytes(worker.entry().incarnation())));
+		return idleWorkers;
 	}
 
-	// A slow worker helps only where the others could not take what waits in one call
-	// each.
-	private int backlogForSlow(PoolSpec spec) {
+	// Pieces that the other workers can take with one call each.
+	private int slowWorkerBacklog(PoolSpec spec) {
 		return spec.batch() * Math.max(this.workers.size() - 1, 1);
 	}
 
--- a/core/src/main/java/org/tallycart/core/pool/QueueOrder.java
+++ b/core/src/main/java/org/tallycart/core/pool/QueueOrder.java
@@ -11,34 +11,34 @@
 import org.tallycart.core.serving.PoolSpec;
 
 /**
- * The order in which a pool's waiting pieces are made.
+ * Processing order of a pool's queued pieces.
  * <p>
- * Those that are needed first come first, as long as all can be on time: then nobody
- * gains by being served earlier. Where a piece would be late, the least urgent of those
- * before it, or it itself, gives way and comes after all that can be on time (Moore and
- * Hodgson's rule for the fewest late jobs, with ranks in place of lengths).
+ * Pieces are sorted by objective, the earliest first, as long as all of them can meet it.
+ * If a piece would be late, the least urgent piece up to and including it is deferred and
+ * sorted behind all pieces that can be on time. This is the Moore-Hodgson algorithm for
+ * the fewest late jobs, with priorities in place of job lengths.
  * <p>
- * The order protects the least urgent kind from waiting behind all others, and the limit
- * on late work protects what can still be on time when a pool loses workers.
+ * Sorting by objective keeps low priorities from starving, and the limit on late work
+ * protects pieces that can still be on time when a pool loses workers.
  * <p>
- * Not thread-safe: made for one choice.
+ * Not thread-safe: an instance covers one scheduling decision.
  */
 final class QueueOrder {
 
-	private static final Comparator<PendingPiece> BY_TIME = Comparator
-		.comparingLong((waiting) -> waiting.job().objectiveMs());
+	private static final Comparator<PendingPiece> BY_OBJECTIVE = Comparator
+		.comparingLong((piece) -> piece.job().objectiveMs());
 
-	// Among the late, what has inputs is ended before what would begin.
-	private static final Comparator<PendingPiece> BY_RANK = Comparator
-		.<PendingPiece>comparingInt((waiting) -> waiting.job().priority())
-		.thenComparingInt((waiting) -> waiting.job().inputs().isEmpty() ? 1 : 0)
-		.thenComparing(BY_TIME);
+	// Among late pieces of a priority, those with inputs come first, so that started
+	// requests finish.
+	private static final Comparator<PendingPiece> BY_PRIORITY = Comparator
+		.<PendingPiece>comparingInt((piece) -> piece.job().priority())
+		.thenComparingInt((piece) -> piece.job().inputs().isEmpty() ? 1 : 0)
+		.thenComparing(BY_OBJECTIVE);
 
 	/**
-	 * Late work that is kept, in milliseconds of all workers' time: it is made in the
-	 * time that is left over, which is half of a quiet pool's.
+	 * Late work that is kept in the queue, in milliseconds of each worker's time.
 	 */
-	private static final double MOST_LATE_WORK_MS = 1_000;
+	private static final double MAX_LATE_WORK_MS = 1_000;
 
 	private final PoolSpec spec;
 
@@ -52,49 +52,49 @@
 		this.nowMs = nowMs;
 	}
 
-	List<PendingPiece> of(Collection<PendingPiece> queue) {
-		List<PendingPiece> byTime = byTime(queue);
-		Set<PendingPiece> givingWay = givingWay(byTime);
-		List<PendingPiece> ordered = new ArrayList<>(byTime);
-		ordered.removeIf(givingWay::contains);
-		givingWay.stream().sorted(BY_RANK).forEach(ordered::add);
+	List<PendingPiece> sort(Collection<PendingPiece> queue) {
+		List<PendingPiece> byObjective = byObjective(queue);
+		Set<PendingPiece> deferred = deferred(byObjective);
+		List<PendingPiece> ordered = new ArrayList<>(byObjective);
+		ordered.removeIf(deferred::contains);
+		deferred.stream().sorted(BY_PRIORITY).forEach(ordered::add);
 		return ordered;
 	}
 
 	/**
-	 * Find the pieces that are not worth keeping: they will be late, nothing of their
-	 * request is made yet, and more late work comes before them than the pool has time
-	 * for.
-	 * @param queue what waits
-	 * @return the pieces
+	 * Find the excess pieces: they will be late, have no inputs, and come behind as much
+	 * late work as the pool keeps.
+	 * @param queue the queued pieces
+	 * @return the pieces to shed
 	 */
-	List<PendingPiece> tooMuch(Collection<PendingPiece> queue) {
-		List<PendingPiece> late = givingWay(byTime(queue)).stream().sorted(BY_RANK).toList();
-		int kept = (int) (MOST_LATE_WORK_MS * this.workers * this.spec.batch()
+	List<PendingPiece> findExcess(Collection<PendingPiece> queue) {
+		List<PendingPiece> late = deferred(byObjective(queue)).stream().sorted(BY_PRIORITY).toList();
+		int kept = (int) (MAX_LATE_WORK_MS * this.workers * this.spec.batch()
 				/ this.spec.expectedMs(this.spec.batch()));
-		return late.stream().skip(kept).filter((waiting) -> waiting.job().inputs().isEmpty()).toList();
+		return late.stream().skip(kept).filter((piece) -> piece.job().inputs().isEmpty()).toList();
 	}
 
-	private static List<PendingPiece> byTime(Collection<PendingPiece> queue) {
-		List<PendingPiece> byTime = new ArrayList<>(queue);
-		byTime.sort(BY_TIME);
-		return byTime;
+	private static List<PendingPiece> byObjective(Collection<PendingPiece> queue) {
+		List<PendingPiece> byObjective = new ArrayList<>(queue);
+		byObjective.sort(BY_OBJECTIVE);
+		return byObjective;
 	}
 
-	private Set<PendingPiece> givingWay(List<PendingPiece> byTime) {
-		Set<PendingPiece> givingWay = new HashSet<>();
-		PriorityQueue<PendingPiece> kept = new PriorityQueue<>(BY_RANK.reversed());
-		for (PendingPiece waiting : byTime) {
-			kept.add(waiting);
-			if (madeMs(kept.size()) > waiting.job().objectiveMs()) {
-				givingWay.add(kept.remove());
+	private Set<PendingPiece> deferred(List<PendingPiece> byObjective) {
+		Set<PendingPiece> deferred = new HashSet<>();
+		PriorityQueue<PendingPiece> kept = new PriorityQueue<>(BY_PRIORITY.reversed());
+		for (PendingPiece piece : byObjective) {
+			kept.add(piece);
+			if (completionMs(kept.size()) > piece.job().objectiveMs()) {
+				deferred.add(kept.remove());
 			}
 		}
-		return givingWay;
+		return deferred;
 	}
 
-	// When the last of so many pieces is made, if the workers take full calls in turn.
-	private double madeMs(int pieces) {
+	// Estimated time at which the last of the pieces completes, if the workers take full
+	// calls in turn.
+	private double completionMs(int pieces) {
 		double callMs = this.spec.expectedMs(Math.min(pieces, this.spec.batch()));
 		int callsBefore = (pieces - 1) / this.spec.batch();
 		return this.nowMs + callMs + callsBefore * callMs / this.workers;
--- a/core/src/main/java/org/tallycart/core/pool/ResultMemory.java
+++ b/core/src/main/java/org/tallycart/core/pool/ResultMemory.java
@@ -6,65 +6,64 @@
 import java.util.Map;
 
 /**
- * How much room for results the workers of a pool have left, as far as the dispatcher
- * knows: what it had made and has not heard to be given back, and what calls in progress
- * will add.
+ * Result memory that is in use at each worker of a pool, as known to the dispatcher:
+ * completed results that are not released yet, and reservations for calls in progress.
  * <p>
- * Invariant: room that is taken is given back once, when its result is released or has
- * expired at its maker. Not thread-safe: guarded by {@link PoolDispatcher}.
+ * Invariant: the memory of a result is freed once, when the result is released or expires
+ * at its worker. Not thread-safe: guarded by {@link PoolDispatcher}.
  */
 final class ResultMemory {
 
-	// In the order in which results expire, since all are kept for the same time.
-	private final Map<String, StoredResult> held = new LinkedHashMap<>();
+	// In the order in which results expire, since all have the same time to live.
+	private final Map<String, StoredResult> results = new LinkedHashMap<>();
 
-	private final Map<String, Long> taken = new HashMap<>();
+	private final Map<String, Long> usedBytes = new HashMap<>();
 
 	void reserve(String worker, long bytes) {
-		this.taken.merge(worker, bytes, Long::sum);
+		this.usedBytes.merge(worker, bytes, Long::sum);
 	}
 
 	void unreserve(String worker, long bytes) {
-		this.taken.merge(worker, -bytes, Long::sum);
+		this.usedBytes.merge(worker, -bytes, Long::sum);
 	}
 
-	void hold(String worker, String handle, long bytes, long untilMs) {
+	void store(String worker, String handle, long bytes, long expiresMs) {
 		release(handle);
-		this.held.put(handle, new StoredResult(worker, bytes, untilMs));
+		this.results.put(handle, new StoredResult(worker, bytes, expiresMs));
 		reserve(worker, bytes);
 	}
 
 	void release(String handle) {
-		StoredResult result = this.held.remove(handle);
+		StoredResult result = this.results.remove(handle);
 		if (result != null) {
 			unreserve(result.worker(), result.bytes());
 		}
 	}
 
 	void expire(long nowMs) {
-		Iterator<StoredResult> each = this.held.values().iterator();
-		while (each.hasNext()) {
-			StoredResult oldest = each.next();
-			if (oldest.untilMs() > nowMs) {
+		Iterator<StoredResult> iterator = this.results.values().iterator();
+		while (iterator.hasNext()) {
+			StoredResult oldest = iterator.next();
+			if (oldest.expiresMs() > nowMs) {
 				return;
 			}
-			each.remove();
+			iterator.remove();
 			unreserve(oldest.worker(), oldest.bytes());
 		}
 	}
 
-	long taken(String worker) {
-		return this.taken.getOrDefault(worker, 0L);
+	long usedBytes(String worker) {
+		return this.usedBytes.getOrDefault(worker, 0L);
 	}
 
 	/**
-	 * A result that its maker keeps.
+	 * Result that a worker stores.
 	 *
-	 * @param worker the maker
-	 * @param bytes its size
-	 * @param untilMs when the maker drops it of its own accord, on the steady clock
+	 * @param worker the incarnation of the worker
+	 * @param bytes the size of the result, in bytes
+	 * @param expiresMs time at which the worker drops the result, on the monotonic clock
 	 */
-	private record StoredResult(String worker, long bytes, long untilMs) {
+	private record StoredResult(String worker, long bytes, long expiresMs) {
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/pool/StagePlan.java
+++ b/core/src/main/java/org/tallycart/core/pool/StagePlan.java
@@ -9,62 +9,66 @@
 import org.tallycart.core.serving.StageSpec;
 
 /**
- * Which pieces of a request are made, and which can be made next.
+ * Tracks the completed pieces of a request's stages and which stages can start next. The
+ * stages form a directed acyclic graph.
  * <p>
- * Invariants: a stage is started once, when all pieces of the stages before it are made;
- * its pieces get all of their results, in order of stage and piece, and no others. Not
- * thread-safe: belongs to one request.
+ * Invariants: a stage is started once, when all pieces of the stages it depends on are
+ * completed; its pieces receive all of their results, in order of stage and piece, and no
+ * others. Not thread-safe: belongs to one request.
  *
  * @since 0.1
  */
 public final class StagePlan {
 
-	/** A result of this size fills a maker's room a few times over, in bytes. */
+	/** Size from which a few results fill a worker's result memory, in bytes. */
 	private static final long LARGE_RESULT_BYTES = 500_000;
 
 	private final List<StageSpec> stages;
 
 	private final @Nullable String[][] handles;
 
-	private final boolean[][] read;
+	private final boolean[][] inputsRead;
 
 	private final boolean[] started;
 
-	private final boolean[] spent;
+	private final boolean[] released;
 
 	/**
 	 * Create a plan.
-	 * @param stages the route's stages
-	 * @param counts the number of pieces of each stage; a stage without a number has none
+	 * @param stages the stages of the route
+	 * @param counts the number of pieces of each stage; 0 for stages beyond the end of
+	 * the list
 	 */
 	public StagePlan(List<StageSpec> stages, List<Integer> counts) {
 		this.stages = stages;
 		this.handles = new String[stages.size()][];
-		this.read = new boolean[stages.size()][];
+		this.inputsRead = new boolean[stages.size()][];
 		this.started = new boolean[stages.size()];
-		this.spent = new boolean[stages.size()];
+		this.released = new boolean[stages.size()];
 		for (int i = 0; i < stages.size(); i++) {
 			this.handles[i] = new String[(i < counts.size()) ? Math.max(counts.get(i), 0) : 0];
-			this.read[i] = new boolean[this.handles[i].length];
+			this.inputsRead[i] = new boolean[this.handles[i].length];
 		}
 	}
 
 	/**
-	 * Start the stages whose inputs are all made. Large results that only the request
-	 * itself reads are made last, since their makers have little room to keep them.
-	 * @return the numbers of the stages that have pieces and can be made now
+	 * Start the stages whose dependencies are completed. Stages with large results that
+	 * only the request itself reads are started last, since workers have little result
+	 * memory to store them.
+	 * @return the indexes of the started stages that have pieces
 	 */
 	public List<Integer> startReady() {
 		List<Integer> ready = new ArrayList<>();
-		startAll(ready, false);
-		startAll(ready, true);
+		startStages(ready, false);
+		startStages(ready, true);
 		return ready;
 	}
 
-	private void startAll(List<Integer> ready, boolean held) {
+	private void startStages(List<Integer> ready, boolean deferrable) {
 		for (int i = 0; i < this.stages.size(); i++) {
-			boolean inputsMade = this.stages.get(i).dependsOn().stream().allMatch(this::isComplete);
-			if (!this.started[i] && inputsMade && held == canWait(i) && (!held || othersStarted(i))) {
+			boolean dependenciesCompleted = this.stages.get(i).dependsOn().stream().allMatch(this::isComplete);
+			if (!this.started[i] && dependenciesCompleted && deferrable == isDeferrable(i)
+					&& (!deferrable || areOthersStarted(i))) {
 				this.started[i] = true;
 				if (this.handles[i].length > 0) {
 					ready.add(i);
@@ -73,58 +77,58 @@
 		}
 	}
 
-	private boolean canWait(int number) {
-		return this.stages.get(number).resultBytes() >= LARGE_RESULT_BYTES && isFinal(number);
+	private boolean isDeferrable(int stage) {
+		return this.stages.get(stage).resultBytes() >= LARGE_RESULT_BYTES && isFinal(stage);
 	}
 
-	private boolean othersStarted(int number) {
+	private boolean areOthersStarted(int stage) {
 		for (int i = 0; i < this.stages.size(); i++) {
-			if (i != number && !this.started[i] && this.handles[i].length > 0 && !canWait(i)) {
+			if (i != stage && !this.started[i] && this.handles[i].length > 0 && !isDeferrable(i)) {
 				return false;
 			}
 		}
 		return true;
 	}
 
-	private boolean isFinal(int number) {
-		return this.stages.stream().noneMatch((stage) -> stage.dependsOn().contains(number));
+	private boolean isFinal(int stage) {
+		return this.stages.stream().noneMatch((other) -> other.dependsOn().contains(stage));
 	}
 
 	/**
-	 * Return how many pieces a stage has.
-	 * @param stage its number
-	 * @return the count
+	 * Return the number of pieces of a stage.
+	 * @param stage the index of the stage
+	 * @return the number of pieces
 	 */
 	public int pieceCount(int stage) {
 		return this.handles[stage].length;
 	}
 
 	/**
-	 * Return the size of all inputs of a stage's pieces.
-	 * @param stage its number
-	 * @return bytes that each piece reads
+	 * Return the size of the inputs of a stage.
+	 * @param stage the index of the stage
+	 * @return bytes that each piece of the stage reads
 	 */
 	public long inputBytes(int stage) {
 		long sum = 0;
-		for (int before : this.stages.get(stage).dependsOn()) {
-			sum += this.handles[before].length * this.stages.get(before).resultBytes();
+		for (int dependency : this.stages.get(stage).dependsOn()) {
+			sum += this.handles[dependency].length * this.stages.get(dependency).resultBytes();
 		}
 		return sum;
 	}
 
 	/**
-	 * Return whether other stages read a stage's results.
-	 * @param stage its number
-	 * @return false if only the request itself reads them
+	 * Return whether other stages depend on a stage.
+	 * @param stage the index of the stage
+	 * @return false if only the request itself reads the results
 	 */
 	public boolean hasReaders(int stage) {
 		return !isFinal(stage);
 	}
 
 	/**
-	 * Return how many stages follow a stage, one after the other.
-	 * @param stage its number
-	 * @return the length of the longest chain behind it that has pieces
+	 * Return the length of the longest chain of stages after a stage.
+	 * @param stage the index of the stage
+	 * @return the number of stages in the chain; it ends at a stage without pieces
 	 */
 	public int stagesAfter(int stage) {
 		int longest = 0;
@@ -137,10 +141,9 @@
 	}
 
 	/**
-	 * Return how long all stages take, if those that need not wait for each other run at
-	 * the same time.
-	 * @param stageMs how long a stage takes, by its number, in milliseconds
-	 * @return milliseconds; 0 where there are no pieces
+	 * Return the duration of the critical path through the stages.
+	 * @param stageMs the duration of a stage by its index, in milliseconds
+	 * @return milliseconds; 0 if there are no pieces
 	 */
 	public long criticalPathMs(IntToLongFunction stageMs) {
 		long longest = 0;
@@ -150,28 +153,28 @@
 		return longest;
 	}
 
-	private long criticalPathMs(int last, IntToLongFunction stageMs) {
-		long before = 0;
-		for (int input : this.stages.get(last).dependsOn()) {
-			before = Math.max(before, criticalPathMs(input, stageMs));
+	private long criticalPathMs(int stage, IntToLongFunction stageMs) {
+		long dependenciesMs = 0;
+		for (int dependency : this.stages.get(stage).dependsOn()) {
+			dependenciesMs = Math.max(dependenciesMs, criticalPathMs(dependency, stageMs));
 		}
-		return before + ((this.handles[last].length > 0) ? stageMs.applyAsLong(last) : 0);
+		return dependenciesMs + ((this.handles[stage].length > 0) ? stageMs.applyAsLong(stage) : 0);
 	}
 
 	/**
-	 * Return the inputs of a stage's pieces.
-	 * @param stage its number
-	 * @return handles of all pieces of the stages before it; empty if there are none
+	 * Return the inputs of a stage.
+	 * @param stage the index of the stage
+	 * @return handles of the results of the stages it depends on; empty if there are none
 	 */
 	public List<String> inputs(int stage) {
 		return handlesOf(this.stages.get(stage).dependsOn());
 	}
 
 	/**
-	 * Take the result of a piece.
-	 * @param stage the stage
-	 * @param piece the piece
-	 * @param handle names the result
+	 * Record the result of a piece.
+	 * @param stage the index of the stage
+	 * @param piece the index of the piece within the stage
+	 * @param handle identifies the result
 	 */
 	public void onCompleted(int stage, int piece, String handle) {
 		this.handles[stage][piece] = handle;
@@ -179,12 +182,12 @@
 	}
 
 	/**
-	 * Take note that a piece's maker has read its inputs.
-	 * @param stage the stage
-	 * @param piece the piece
+	 * Record that a piece's worker has read its inputs.
+	 * @param stage the index of the stage
+	 * @param piece the index of the piece within the stage
 	 */
 	public void onInputsRead(int stage, int piece) {
-		this.read[stage][piece] = true;
+		this.inputsRead[stage][piece] = true;
 	}
 
 	private boolean isComplete(int stage) {
@@ -192,8 +195,8 @@
 	}
 
 	/**
-	 * Return whether all pieces are made.
-	 * @return true if the request can run
+	 * Return whether all pieces are completed.
+	 * @return true if the request can be executed
 	 */
 	public boolean isComplete() {
 		for (int i = 0; i < this.stages.size(); i++) {
@@ -206,22 +209,22 @@
 
 	/**
 	 * Return the results that the request itself reads.
-	 * @return handles of all pieces of the stages that no other stage follows
+	 * @return handles of the results of the stages that no other stage depends on
 	 */
 	public List<String> finalHandles() {
-		List<Integer> last = new ArrayList<>();
+		List<Integer> finalStages = new ArrayList<>();
 		for (int i = 0; i < this.stages.size(); i++) {
 			if (isFinal(i)) {
-				last.add(i);
+				finalStages.add(i);
 			}
 		}
-		return handlesOf(last);
+		return handlesOf(finalStages);
 	}
 
-	private List<String> handlesOf(List<Integer> numbers) {
+	private List<String> handlesOf(List<Integer> indexes) {
 		List<String> found = new ArrayList<>();
-		for (int number : numbers) {
-			for (String handle : this.handles[number]) {
+		for (int stage : indexes) {
+			for (String handle : this.handles[stage]) {
 				if (handle != null) {
 					found.add(handle);
 				}
@@ -231,36 +234,36 @@
 	}
 
 	/**
-	 * Take back the stages whose results no piece needs any more and that the request
-	 * itself does not read.
-	 * @return their numbers; each is returned once
+	 * Return and mark as released the stages whose results are read by all dependent
+	 * pieces and not by the request itself.
+	 * @return the indexes of the stages; each is returned once
 	 */
 	public List<Integer> takeReleasable() {
-		List<Integer> fresh = new ArrayList<>();
+		List<Integer> releasable = new ArrayList<>();
 		for (int i = 0; i < this.stages.size(); i++) {
-			if (!this.spent[i] && isComplete(i) && followersRead(i)) {
-				this.spent[i] = true;
-				fresh.add(i);
+			if (!this.released[i] && isComplete(i) && dependentsRead(i)) {
+				this.released[i] = true;
+				releasable.add(i);
 			}
 		}
-		return fresh;
+		return releasable;
 	}
 
-	private boolean followersRead(int number) {
-		boolean followed = false;
+	private boolean dependentsRead(int stage) {
+		boolean hasDependents = false;
 		for (int i = 0; i < this.stages.size(); i++) {
-			if (this.stages.get(i).dependsOn().contains(number)) {
-				followed = true;
-				if (!read(i)) {
+			if (this.stages.get(i).dependsOn().contains(stage)) {
+				hasDependents = true;
+				if (!areInputsRead(i)) {
 					return false;
 				}
 			}
 		}
-		return followed;
+		return hasDependents;
 	}
 
-	private boolean read(int stage) {
-		for (boolean piece : this.read[stage]) {
+	private boolean areInputsRead(int stage) {
+		for (boolean piece : this.inputsRead[stage]) {
 			if (!piece) {
 				return false;
 			}
@@ -269,37 +272,37 @@
 	}
 
 	/**
-	 * Take back all stages that have not been taken back.
-	 * @return their numbers
+	 * Return and mark as released all stages that are not released yet.
+	 * @return the indexes of the stages
 	 */
 	public List<Integer> takeUnreleased() {
-		List<Integer> rest = new ArrayList<>();
+		List<Integer> unreleased = new ArrayList<>();
 		for (int i = 0; i < this.stages.size(); i++) {
-			if (!this.spent[i]) {
-				this.spent[i] = true;
-				rest.add(i);
+			if (!this.released[i]) {
+				this.released[i] = true;
+				unreleased.add(i);
 			}
 		}
-		return rest;
+		return unreleased;
 	}
 
 	/**
-	 * Return the results of a stage that are there.
-	 * @param stage its number
-	 * @return the handles
+	 * Return the available results of a stage.
+	 * @param stage the index of the stage
+	 * @return the handles of its completed pieces
 	 */
 	public List<String> results(int stage) {
 		return handlesOf(List.of(stage));
 	}
 
-	/** Forget all results, so that every piece is made again. */
+	/** Discard all results, so that every piece is processed again. */
 	public void reset() {
 		Arrays.fill(this.started, false);
-		Arrays.fill(this.spent, false);
+		Arrays.fill(this.released, false);
 		for (String[] stage : this.handles) {
 			Arrays.fill(stage, null);
 		}
-		for (boolean[] stage : this.read) {
+		for (boolean[] stage : this.inputsRead) {
 			Arrays.fill(stage, false);
 		}
 	}
--- a/core/src/main/java/org/tallycart/core/pool/package-info.java
+++ b/core/src/main/java/org/tallycart/core/pool/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Stage pools: which pieces of work a request needs, and how pieces of many requests are
- * put into calls. Reads no clock and opens no socket. Promise kept: no piece is given
- * another request's input, and none is made that cannot be used in time; tests are in
- * {@code StagePlanTests} and {@code PoolDispatcherTests}.
+ * Stage pools: planning of the pieces that a request needs, and batching of the pieces of
+ * many requests into calls. The package reads no clock and opens no socket. A piece never
+ * receives another request's input, and a piece that cannot complete before its deadline
+ * is not processed; see {@code StagePlanTests} and {@code PoolDispatcherTests}.
  */
 @NullMarked
 package org.tallycart.core.pool;
--- a/core/src/test/java/org/tallycart/core/pool/PieceLatencyEstimatorTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/PieceLatencyEstimatorTests.java
@@ -10,11 +10,11 @@
  */
 public class PieceLatencyEstimatorTests {
 
-	private PieceLatencyEstimator times = new PieceLatencyEstimator();
+	private PieceLatencyEstimator estimator = new PieceLatencyEstimator();
 
 	@BeforeMethod
-	void begin() {
-		this.times = new PieceLatencyEstimator();
+	void createEstimator() {
+		this.estimator = new PieceLatencyEstimator();
 	}
 
 	private static PieceJob job(int number, int priority) {
@@ -22,32 +22,32 @@
 	}
 
 	@Test
-	void withoutAnyWordThingsAreAsUsual() {
-		assertEquals(this.times.expectedMs("pool", 0, 0), PieceLatencyEstimator.USUAL_MS);
+	void withoutOutcomesTheDefaultIsExpected() {
+		assertEquals(this.estimator.expectedMs("pool", 0, 0), PieceLatencyEstimator.DEFAULT_MS);
 	}
 
 	@Test
-	void thePieceThatWaitsLongestTellsBeforeItHasAnOutcome() {
-		this.times.onSubmitted(job(0, 1), 0);
-		this.times.onSubmitted(job(1, 1), 1_500);
-		assertEquals(this.times.expectedMs("pool", 1, 2_000), 2_000);
-		this.times.onWithdrawn(job(0, 1).id());
-		assertEquals(this.times.expectedMs("pool", 1, 2_000), 500);
+	void theLongestPendingPieceDeterminesTheEstimate() {
+		this.estimator.onSubmitted(job(0, 1), 0);
+		this.estimator.onSubmitted(job(1, 1), 1_500);
+		assertEquals(this.estimator.expectedMs("pool", 1, 2_000), 2_000);
+		this.estimator.onWithdrawn(job(0, 1).id());
+		assertEquals(this.estimator.expectedMs("pool", 1, 2_000), 500);
 	}
 
 	@Test
-	void theLastOutcomeTellsForAWhile() {
-		this.times.onSubmitted(job(0, 1), 0);
-		this.times.onOutcome(job(0, 1).id(), 1_200);
-		assertEquals(this.times.expectedMs("pool", 1, 1_300), 1_200);
-		assertEquals(this.times.expectedMs("pool", 1, 2_300), PieceLatencyEstimator.USUAL_MS);
+	void theLatestOutcomeDeterminesTheEstimateForASecond() {
+		this.estimator.onSubmitted(job(0, 1), 0);
+		this.estimator.onOutcome(job(0, 1).id(), 1_200);
+		assertEquals(this.estimator.expectedMs("pool", 1, 1_300), 1_200);
+		assertEquals(this.estimator.expectedMs("pool", 1, 2_300), PieceLatencyEstimator.DEFAULT_MS);
 	}
 
 	@Test
-	void ranksAndPoolsAreToldApart() {
-		this.times.onSubmitted(job(0, 1), 0);
-		assertEquals(this.times.expectedMs("pool", 0, 2_000), PieceLatencyEstimator.USUAL_MS);
-		assertEquals(this.times.expectedMs("other", 1, 2_000), PieceLatencyEstimator.USUAL_MS);
+	void prioritiesAndPoolsAreSeparate() {
+		this.estimator.onSubmitted(job(0, 1), 0);
+		assertEquals(this.estimator.expectedMs("pool", 0, 2_000), PieceLatencyEstimator.DEFAULT_MS);
+		assertEquals(this.estimator.expectedMs("other", 1, 2_000), PieceLatencyEstimator.DEFAULT_MS);
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/pool/PoolDispatcherTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/PoolDispatcherTests.java
@@ -21,7 +21,7 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for the dispatcher of a pool.
+ * Tests for {@link PoolDispatcher}.
  */
 public class PoolDispatcherTests {
 
@@ -31,13 +31,13 @@
 
 	private static final long LARGE = 1_500_000;
 
-	private final Map<PieceId, PieceOutcome> heard = new HashMap<>();
+	private final Map<PieceId, PieceOutcome> received = new HashMap<>();
 
 	private PoolDispatcher dispatcher = new PoolDispatcher(SPEC);
 
 	@BeforeMethod
-	void begin() {
-		this.heard.clear();
+	void createDispatcher() {
+		this.received.clear();
 		this.dispatcher = new PoolDispatcher(SPEC);
 	}
 
@@ -57,8 +57,8 @@
 			.build();
 	}
 
-	private void ask(PieceJob job) {
-		this.dispatcher.submit(job, this.heard::put);
+	private void submit(PieceJob job) {
+		this.dispatcher.submit(job, this.received::put);
 	}
 
 	private static List<String> requests(Optional<PoolCall> call) {
@@ -69,25 +69,25 @@
 	void piecesOfManyRequestsShareACall() {
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
 		for (int i = 0; i < 6; i++) {
-			ask(job("r" + i, 0, 3_000 + i, "d", SMALL));
+			submit(job("r" + i, 0, 3_000 + i, "d", SMALL));
 		}
 		PoolCall call = this.dispatcher.nextCall(0).orElseThrow();
 		assertEquals(call.jobs().size(), SPEC.batch());
 		assertTrue(this.dispatcher.nextCall(0).isEmpty(), "the only worker is busy");
-		assertEquals(this.dispatcher.onAnswer(call.number(), made(call), 280), List.of());
-		assertEquals(this.heard.size(), SPEC.batch());
+		assertEquals(this.dispatcher.onAnswer(call.number(), completed(call), 280), List.of());
+		assertEquals(this.received.size(), SPEC.batch());
 		assertEquals(this.dispatcher.nextCall(280).orElseThrow().jobs().size(), 2);
 	}
 
-	private static List<PieceOutcome> made(PoolCall call) {
+	private static List<PieceOutcome> completed(PoolCall call) {
 		return call.jobs().stream().map((job) -> PieceOutcome.completed("w/" + job.id().requestId())).toList();
 	}
 
 	@Test
-	void lateWorkWhoseInputsHoldRoomIsEndedBeforeNewWorkOfItsRank() {
+	void latePieceWithLargeInputsPrecedesNewPieceOfSamePriority() {
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
-		ask(job("new", 1, 40, "d", SMALL));
-		ask(PieceJob.builder(new PieceId("begun", 2, 0), "pool")
+		submit(job("new", 1, 40, "d", SMALL));
+		submit(PieceJob.builder(new PieceId("begun", 2, 0), "pool")
 			.source("", List.of("m/1"))
 			.dueBy(50, 5_000)
 			.priority(1)
@@ -98,10 +98,10 @@
 	}
 
 	@Test
-	void aLargeResultIsMadeWhereItIsWanted() {
+	void aPieceWithLargeResultGoesToItsPreferredDomain() {
 		this.dispatcher.updateWorkers(List.of(worker("w1", "d1", false), worker("w2", "d2", false)), Set.of());
-		ask(job("large", 0, 5_000, "d2", LARGE));
-		ask(job("small", 0, 5_000, "d2", SMALL));
+		submit(job("large", 0, 5_000, "d2", LARGE));
+		submit(job("small", 0, 5_000, "d2", SMALL));
 		Map<String, List<String>> byWorker = new HashMap<>();
 		for (int i = 0; i < 2; i++) {
 			this.dispatcher.nextCall(0)
@@ -111,9 +111,9 @@
 	}
 
 	@Test
-	void aPieceWithoutRoomWaitsForRoomUntilItIsTooLate() {
+	void aPieceWithoutResultMemoryStaysQueuedUntilItsDeadline() {
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
-		ask(job("r", 0, 3_000, "d", LARGE));
+		submit(job("r", 0, 3_000, "d", LARGE));
 		long now = 0;
 		for (int i = 0; i < 10; i++) {
 			PoolCall call = this.dispatcher.nextCall(now).orElseThrow();
@@ -122,35 +122,35 @@
 			assertTrue(this.dispatcher.nextCall(now + 5).isEmpty(), "a pause");
 			now += 100;
 		}
-		assertTrue(this.heard.isEmpty());
+		assertTrue(this.received.isEmpty());
 		this.dispatcher.tick(8_000);
-		assertEquals(this.heard.get(new PieceId("r", 0, 0)).status(), PieceOutcome.Status.LATE);
+		assertEquals(this.received.get(new PieceId("r", 0, 0)).status(), PieceOutcome.Status.LATE);
 	}
 
 	@Test
-	void noMoreIsAskedOfAWorkerThanItHasRoomFor() {
+	void aCallDoesNotExceedTheResultMemoryOfItsWorker() {
 		this.dispatcher = new PoolDispatcher(new PoolSpec(1, 2, 4, 200, 20, 2 * LARGE, 4_000));
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
 		for (int i = 0; i < 5; i++) {
-			ask(job("r" + i, 0, 9_000, "d", LARGE));
+			submit(job("r" + i, 0, 9_000, "d", LARGE));
 		}
 		PoolCall first = this.dispatcher.nextCall(0).orElseThrow();
 		assertEquals(first.jobs().size(), 2);
-		this.dispatcher.onAnswer(first.number(), made(first), 240);
+		this.dispatcher.onAnswer(first.number(), completed(first), 240);
 		assertTrue(this.dispatcher.nextCall(240).isEmpty(), "both results are still there");
 		this.dispatcher.release(List.of("w/r0"));
 		PoolCall second = this.dispatcher.nextCall(300).orElseThrow();
 		assertEquals(second.jobs().size(), 1);
-		this.dispatcher.onAnswer(second.number(), made(second), 520);
+		this.dispatcher.onAnswer(second.number(), completed(second), 520);
 		assertEquals(this.dispatcher.nextCall(4_300).orElseThrow().jobs().size(), 1, "the other one has expired");
 	}
 
 	@Test
-	void piecesWhoseResultsAreReadTogetherStayTogether() {
+	void colocatedPiecesShareACall() {
 		this.dispatcher.updateWorkers(List.of(worker("w1", "d1", false), worker("w2", "d2", false)), Set.of());
 		for (int i = 0; i < 3; i++) {
-			ask(together("a", i));
-			ask(together("b", i));
+			submit(colocatedJob("a", i));
+			submit(colocatedJob("b", i));
 		}
 		PoolCall first = this.dispatcher.nextCall(0).orElseThrow();
 		PoolCall second = this.dispatcher.nextCall(0).orElseThrow();
@@ -159,7 +159,7 @@
 		assertFalse(requests(Optional.of(first)).equals(requests(Optional.of(second))));
 	}
 
-	private static PieceJob together(String request, int piece) {
+	private static PieceJob colocatedJob(String request, int piece) {
 		return PieceJob.builder(new PieceId(request, 1, piece), "pool")
 			.dueBy(50_000, 90_000)
 			.result(SMALL, true)
@@ -167,42 +167,42 @@
 	}
 
 	@DataProvider
-	Object[][] groupsAndCalls() {
+	Object[][] groupAndBatchSizes() {
 		return new Object[][] { { 6, 10 }, { 6, 11 }, { 5, 8 }, { 10, 16 }, { 25, 16 }, { 3, 5 } };
 	}
 
-	@Test(dataProvider = "groupsAndCalls")
-	void groupsThatLeaveMuchOfACallEmptyFillItWhileMuchWaits(int group, int batch) {
+	@Test(dataProvider = "groupAndBatchSizes")
+	void groupsAreSplitToFillMostlyEmptyCallsWhileBacklogged(int group, int batch) {
 		this.dispatcher = new PoolDispatcher(new PoolSpec(1, 2, batch, 200, 20, 10_000_000, 4_000));
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
-		askGroups(20, group);
-		int asked = 20 * group;
+		submitGroups(20, group);
+		int submitted = 20 * group;
 		long now = 0;
-		Set<PieceId> made = new HashSet<>();
-		while (made.size() < asked) {
+		Set<PieceId> completed = new HashSet<>();
+		while (completed.size() < submitted) {
 			PoolCall call = this.dispatcher.nextCall(now).orElseThrow();
-			boolean muchWaits = asked - made.size() >= 2 * batch;
-			assertTrue(call.jobs().size() >= batch * 0.75 || !muchWaits, call.jobs().size() + " of " + batch);
-			call.jobs().forEach((job) -> assertTrue(made.add(job.id()), "made once: " + job.id()));
+			boolean backlogged = submitted - completed.size() >= 2 * batch;
+			assertTrue(call.jobs().size() >= batch * 0.75 || !backlogged, call.jobs().size() + " of " + batch);
+			call.jobs().forEach((job) -> assertTrue(completed.add(job.id()), "made once: " + job.id()));
 			now += 500;
-			this.dispatcher.onAnswer(call.number(), made(call), now);
+			this.dispatcher.onAnswer(call.number(), completed(call), now);
 		}
 	}
 
 	@Test
-	void groupsThatFillMostOfACallStayWholeThoughMuchWaits() {
+	void groupsThatFillMostOfACallAreNotSplitWhileBacklogged() {
 		this.dispatcher = new PoolDispatcher(new PoolSpec(1, 2, 14, 200, 12.6, 10_000_000, 4_000));
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
-		askGroups(20, 6);
+		submitGroups(20, 6);
 		assertEquals(this.dispatcher.nextCall(0).orElseThrow().jobs().size(), 12);
 	}
 
 	@Test
-	void groupsStayWholeWhileIdleWorkersCanTakeAllThatWaits() {
+	void groupsAreNotSplitWhileIdleWorkersCanTakeTheQueue() {
 		this.dispatcher = new PoolDispatcher(new PoolSpec(1, 2, 10, 200, 17, 10_000_000, 4_000));
 		this.dispatcher.updateWorkers(
 				List.of(worker("w1", "d", false), worker("w2", "d", false), worker("w3", "d", false)), Set.of());
-		askGroups(3, 6);
+		submitGroups(3, 6);
 		for (int i = 0; i < 3; i++) {
 			List<String> requests = requests(this.dispatcher.nextCall(0));
 			assertEquals(requests.size(), 6);
@@ -211,63 +211,63 @@
 	}
 
 	@Test
-	void aGroupThatFillsMoreThanAWorkersRoomIsMadeInParts() {
+	void aGroupLargerThanAWorkersResultMemoryIsSplit() {
 		this.dispatcher = new PoolDispatcher(new PoolSpec(1, 2, 4, 200, 20, 6 * SMALL, 4_000));
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
-		askGroups(1, 7);
+		submitGroups(1, 7);
 		assertEquals(this.dispatcher.nextCall(0).orElseThrow().jobs().size(), 4);
 	}
 
-	private void askGroups(int groups, int size) {
+	private void submitGroups(int groups, int size) {
 		for (int i = 0; i < groups; i++) {
 			for (int piece = 0; piece < size; piece++) {
-				ask(together("r" + i, piece));
+				submit(colocatedJob("r" + i, piece));
 			}
 		}
 	}
 
 	@Test
-	void aLargeResultThatWouldBeLateIsMadeElsewhere() {
+	void aPieceLateInItsPreferredDomainGoesToAnotherDomain() {
 		this.dispatcher.updateWorkers(List.of(worker("w1", "d1", false), worker("w2", "d2", false)), Set.of());
-		ask(job("busy", 0, 5_000, "d2", LARGE));
+		submit(job("busy", 0, 5_000, "d2", LARGE));
 		this.dispatcher.nextCall(0);
-		ask(job("urgent", 0, 700, "d2", LARGE));
+		submit(job("urgent", 0, 700, "d2", LARGE));
 		assertEquals(this.dispatcher.nextCall(0).orElseThrow().worker().id(), "w1");
 	}
 
 	@Test
 	void aDrainingWorkerGetsNoCall() {
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", true)), Set.of());
-		ask(job("r", 0, 3_000, "d", SMALL));
+		submit(job("r", 0, 3_000, "d", SMALL));
 		assertTrue(this.dispatcher.nextCall(0).isEmpty());
-		assertEquals(this.heard.get(new PieceId("r", 0, 0)).status(), PieceOutcome.Status.NO_WORKER);
+		assertEquals(this.received.get(new PieceId("r", 0, 0)).status(), PieceOutcome.Status.NO_WORKER);
 		this.dispatcher.updateWorkers(List.of(worker("w2", "d", false)), Set.of());
-		ask(job("r", 0, 3_000, "d", SMALL));
+		submit(job("r", 0, 3_000, "d", SMALL));
 		assertEquals(this.dispatcher.nextCall(0).orElseThrow().worker().id(), "w2");
 	}
 
 	@Test
-	void aPieceThatCannotBeReadyInTimeIsNotMade() {
-		ask(job("r", 0, 0, "d", SMALL));
+	void aPieceThatCannotMeetItsDeadlineFailsAsLate() {
+		submit(job("r", 0, 0, "d", SMALL));
 		this.dispatcher.tick(4_700);
-		assertTrue(this.heard.isEmpty());
+		assertTrue(this.received.isEmpty());
 		this.dispatcher.tick(4_800);
-		assertEquals(this.heard.get(new PieceId("r", 0, 0)).status(), PieceOutcome.Status.LATE);
+		assertEquals(this.received.get(new PieceId("r", 0, 0)).status(), PieceOutcome.Status.LATE);
 		assertEquals(this.dispatcher.queueSize(), 0);
 	}
 
 	@Test
-	void aPieceThatIsUselessWhenItIsAskedForIsNotMadeByAnIdleWorker() {
+	void aPieceSubmittedTooLateIsNotSentToAnIdleWorker() {
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
-		ask(job("r", 0, 0, "d", SMALL));
+		submit(job("r", 0, 0, "d", SMALL));
 		assertTrue(this.dispatcher.nextCall(4_900).isEmpty());
-		assertEquals(this.heard.get(new PieceId("r", 0, 0)).status(), PieceOutcome.Status.LATE);
+		assertEquals(this.received.get(new PieceId("r", 0, 0)).status(), PieceOutcome.Status.LATE);
 	}
 
 	@Test
-	void anOverdueCallsPiecesAreMadeElsewhereAndTheLateResultIsUnused() {
+	void piecesOfAnOverdueCallAreRetriedAndTheLateResultIsUnused() {
 		this.dispatcher.updateWorkers(List.of(worker("slow", "d", false)), Set.of());
-		ask(job("r", 0, 9_000, "d", SMALL));
+		submit(job("r", 0, 9_000, "d", SMALL));
 		PoolCall slow = this.dispatcher.nextCall(0).orElseThrow();
 		this.dispatcher.updateWorkers(List.of(worker("slow", "d", false), worker("fast", "d", false)), Set.of());
 		this.dispatcher.tick(400);
@@ -275,21 +275,21 @@
 		this.dispatcher.tick(600);
 		PoolCall again = this.dispatcher.nextCall(600).orElseThrow();
 		assertEquals(again.worker().id(), "fast");
-		assertEquals(this.dispatcher.onAnswer(again.number(), made(again), 820), List.of());
-		assertEquals(this.heard.size(), 1);
-		assertEquals(this.dispatcher.onAnswer(slow.number(), made(slow), 1_500), List.of("w/r"));
+		assertEquals(this.dispatcher.onAnswer(again.number(), completed(again), 820), List.of());
+		assertEquals(this.received.size(), 1);
+		assertEquals(this.dispatcher.onAnswer(slow.number(), completed(slow), 1_500), List.of("w/r"));
 	}
 
 	@Test
-	void aSlowWorkerGetsNoCallWhileTheOthersCanTakeWhatWaits() {
+	void aSlowWorkerGetsNoCallWhileTheOthersCanTakeTheQueue() {
 		this.dispatcher.updateWorkers(List.of(worker("slow", "d", false), worker("fast", "d", false)), Set.of());
-		ask(job("a", 0, 9_000, "d", SMALL));
+		submit(job("a", 0, 9_000, "d", SMALL));
 		PoolCall first = this.dispatcher.nextCall(0).orElseThrow();
-		this.dispatcher.onAnswer(first.number(), made(first), 2_000);
-		ask(job("b", 0, 9_000, "d", SMALL));
+		this.dispatcher.onAnswer(first.number(), completed(first), 2_000);
+		submit(job("b", 0, 9_000, "d", SMALL));
 		PoolCall second = this.dispatcher.nextCall(2_000).orElseThrow();
 		assertFalse(second.worker().id().equals(first.worker().id()));
-		ask(job("c", 0, 9_000, "d", SMALL));
+		submit(job("c", 0, 9_000, "d", SMALL));
 		assertTrue(this.dispatcher.nextCall(2_000).isEmpty(), "better to wait for the fast one");
 	}
 
@@ -302,12 +302,12 @@
 			.build();
 	}
 
-	private void askForNotes(PieceJob job, List<PieceId> read) {
+	private void submitRecordingReads(PieceJob job, List<PieceId> read) {
 		this.dispatcher.submit(job, new PieceListener() {
 
 			@Override
 			public void onOutcome(PieceId id, PieceOutcome outcome) {
-				PoolDispatcherTests.this.heard.put(id, outcome);
+				PoolDispatcherTests.this.received.put(id, outcome);
 			}
 
 			@Override
@@ -319,15 +319,15 @@
 	}
 
 	@Test
-	void inputsAreReadLongBeforeACallEndsIfItsWorkerWasIdle() {
+	void inputsAreReportedReadBeforeTheCallEndsIfTheWorkerWasIdle() {
 		List<PieceId> read = new ArrayList<>();
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
-		askForNotes(reader("first"), read);
+		submitRecordingReads(reader("first"), read);
 		PoolCall first = this.dispatcher.nextCall(0).orElseThrow();
 		this.dispatcher.tick(150);
 		assertEquals(read, List.of(), "the worker may be busy with another dispatcher's call");
-		this.dispatcher.onAnswer(first.number(), made(first), 220);
-		askForNotes(reader("second"), read);
+		this.dispatcher.onAnswer(first.number(), completed(first), 220);
+		submitRecordingReads(reader("second"), read);
 		this.dispatcher.nextCall(220);
 		this.dispatcher.tick(300);
 		assertEquals(read, List.of(), "too early");
@@ -337,20 +337,21 @@
 	}
 
 	@DataProvider
-	static Object[][] endsOfCalls() {
+	static Object[][] callEndings() {
 		return new Object[][] { { "broken" }, { "overdue" } };
 	}
 
 	/**
-	 * Its inputs may be gone, so the request has to make them again, and knows at once.
+	 * Guards against a retry of a piece whose inputs may already be released: the request
+	 * has to recompute them.
 	 */
-	@Test(dataProvider = "endsOfCalls")
-	void aPieceWhoseInputsWereReadIsNotTriedElsewhere(String end) {
+	@Test(dataProvider = "callEndings")
+	void aPieceWhoseInputsWereReadIsNotRetried(String end) {
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
-		askForNotes(reader("first"), new ArrayList<>());
+		submitRecordingReads(reader("first"), new ArrayList<>());
 		PoolCall first = this.dispatcher.nextCall(0).orElseThrow();
-		this.dispatcher.onAnswer(first.number(), made(first), 220);
-		askForNotes(reader("second"), new ArrayList<>());
+		this.dispatcher.onAnswer(first.number(), completed(first), 220);
+		submitRecordingReads(reader("second"), new ArrayList<>());
 		PoolCall second = this.dispatcher.nextCall(220).orElseThrow();
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false), worker("other", "d", false)), Set.of());
 		this.dispatcher.tick(320);
@@ -360,40 +361,40 @@
 		else {
 			this.dispatcher.tick(800);
 		}
-		assertEquals(this.heard.get(new PieceId("second", 2, 0)).status(), PieceOutcome.Status.INPUT_GONE);
+		assertEquals(this.received.get(new PieceId("second", 2, 0)).status(), PieceOutcome.Status.INPUT_GONE);
 		assertTrue(this.dispatcher.nextCall(800).isEmpty());
 	}
 
-	/** A planned stop under load: what waits goes on elsewhere at once. */
+	/** Guards against pieces that stay queued at a dispatcher that stops under load. */
 	@Test
-	void aDispatcherThatStopsHandsBackWhatWaitsAndEndsItsCalls() {
-		List<PieceId> back = new ArrayList<>();
-		PieceListener asker = new PieceListener() {
+	void aStoppedDispatcherHandsBackQueuedPiecesAndCompletesItsCalls() {
+		List<PieceId> handedBack = new ArrayList<>();
+		PieceListener listener = new PieceListener() {
 
 			@Override
 			public void onOutcome(PieceId id, PieceOutcome outcome) {
-				PoolDispatcherTests.this.heard.put(id, outcome);
+				PoolDispatcherTests.this.received.put(id, outcome);
 			}
 
 			@Override
 			public void onHandedBack(PieceId id) {
-				back.add(id);
+				handedBack.add(id);
 			}
 
 		};
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
-		this.dispatcher.submit(job("running", 0, 9_000, "d", SMALL), asker);
+		this.dispatcher.submit(job("running", 0, 9_000, "d", SMALL), listener);
 		PoolCall call = this.dispatcher.nextCall(0).orElseThrow();
-		this.dispatcher.submit(job("waiting", 0, 9_000, "d", SMALL), asker);
+		this.dispatcher.submit(job("waiting", 0, 9_000, "d", SMALL), listener);
 		this.dispatcher.stop();
-		this.dispatcher.submit(job("asked later", 0, 9_000, "d", SMALL), asker);
-		assertEquals(back, List.of(new PieceId("waiting", 0, 0), new PieceId("asked later", 0, 0)));
-		assertTrue(this.heard.isEmpty());
-		this.dispatcher.onAnswer(call.number(), made(call), 220);
-		assertEquals(this.heard.keySet(), Set.of(new PieceId("running", 0, 0)));
+		this.dispatcher.submit(job("asked later", 0, 9_000, "d", SMALL), listener);
+		assertEquals(handedBack, List.of(new PieceId("waiting", 0, 0), new PieceId("asked later", 0, 0)));
+		assertTrue(this.received.isEmpty());
+		this.dispatcher.onAnswer(call.number(), completed(call), 220);
+		assertEquals(this.received.keySet(), Set.of(new PieceId("running", 0, 0)));
 		assertEquals(this.dispatcher.queueSize() + this.dispatcher.callsInProgress(), 0);
 		this.dispatcher.resume();
-		this.dispatcher.submit(job("nobody else", 0, 9_000, "d", SMALL), asker);
+		this.dispatcher.submit(job("nobody else", 0, 9_000, "d", SMALL), listener);
 		assertTrue(this.dispatcher.nextCall(300).isPresent());
 	}
 
@@ -403,34 +404,34 @@
 	}
 
 	@Test(dataProvider = "failures")
-	void aFailedCallsPiecesGoToAnotherWorker(boolean begun) {
+	void aFailedCallsPiecesGoToAnotherWorker(boolean started) {
 		this.dispatcher.updateWorkers(List.of(worker("w1", "d", false), worker("w2", "d", false)), Set.of());
-		ask(job("r", 0, 9_000, "d", SMALL));
+		submit(job("r", 0, 9_000, "d", SMALL));
 		PoolCall first = this.dispatcher.nextCall(0).orElseThrow();
-		this.dispatcher.onFailure(first.number(), begun, 10);
+		this.dispatcher.onFailure(first.number(), started, 10);
 		PoolCall second = this.dispatcher.nextCall(10).orElseThrow();
 		assertFalse(second.worker().id().equals(first.worker().id()));
 	}
 
 	@Test
-	void aWithdrawnPieceIsNotMade() {
-		ask(job("r", 0, 9_000, "d", SMALL));
+	void aWithdrawnPieceIsNotProcessed() {
+		submit(job("r", 0, 9_000, "d", SMALL));
 		this.dispatcher.withdraw(new PieceId("r", 0, 0));
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
 		assertTrue(this.dispatcher.nextCall(0).isEmpty());
 	}
 
 	@Test
-	void aSecondAskForAPieceIsHeardByTheSecondAskerOnly() {
-		List<String> askers = new ArrayList<>();
+	void aRepeatedSubmissionReplacesTheListener() {
+		List<String> notified = new ArrayList<>();
 		PieceJob job = job("r", 0, 9_000, "d", SMALL);
-		this.dispatcher.submit(job, (id, outcome) -> askers.add("first"));
-		this.dispatcher.submit(job, (id, outcome) -> askers.add("second"));
+		this.dispatcher.submit(job, (id, outcome) -> notified.add("first"));
+		this.dispatcher.submit(job, (id, outcome) -> notified.add("second"));
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
 		PoolCall call = this.dispatcher.nextCall(0).orElseThrow();
 		assertEquals(call.jobs().size(), 1);
-		this.dispatcher.onAnswer(call.number(), made(call), 220);
-		assertEquals(askers, List.of("second"));
+		this.dispatcher.onAnswer(call.number(), completed(call), 220);
+		assertEquals(notified, List.of("second"));
 	}
 
 	@DataProvider
@@ -443,21 +444,20 @@
 	}
 
 	/**
-	 * Whatever workers do, each piece has one outcome, and no worker more calls than
-	 * slots.
+	 * Guards against lost or repeated outcomes under random failures and worker changes.
 	 */
 	@Test(dataProvider = "seeds")
 	void eachPieceHasOneOutcome(long seed) {
 		Random random = new Random(seed);
 		Map<PieceId, Integer> outcomes = new HashMap<>();
 		List<PoolCall> running = new ArrayList<>();
-		int asked = 0;
+		int submitted = 0;
 		for (long now = 0; now < 12_000; now += 10) {
 			if (now < 4_000 && random.nextInt(4) == 0) {
-				PieceJob job = job("r" + asked, random.nextInt(3), now + 1_000, "d" + random.nextInt(2),
+				PieceJob job = job("r" + submitted, random.nextInt(3), now + 1_000, "d" + random.nextInt(2),
 						random.nextBoolean() ? LARGE : SMALL);
 				this.dispatcher.submit(job, (id, outcome) -> outcomes.merge(id, 1, Integer::sum));
-				asked++;
+				submitted++;
 			}
 			if (random.nextInt(100) == 0) {
 				this.dispatcher.updateWorkers(List.of(worker("w" + random.nextInt(3), "d0", false),
@@ -478,7 +478,7 @@
 			long busiest = running.stream().map((each) -> each.worker().id()).distinct().count();
 			assertTrue(running.size() >= busiest);
 		}
-		assertEquals(outcomes.size(), asked);
+		assertEquals(outcomes.size(), submitted);
 		assertTrue(outcomes.values().stream().allMatch((count) -> count == 1));
 	}
 
--- a/core/src/test/java/org/tallycart/core/pool/PoolWorkerChangesTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/PoolWorkerChangesTests.java
@@ -17,12 +17,13 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for a pool whose workers restart, or are evacuated, while it has work.
+ * Tests for a {@link PoolDispatcher} whose workers restart, drain, back off or are
+ * evacuated while pieces are pending.
  */
 public class PoolWorkerChangesTests {
 
-	private static final PieceListener NOBODY = (id, outcome) -> {
-		// Nothing is asked of the outcome here.
+	private static final PieceListener IGNORE_OUTCOME = (id, outcome) -> {
+		// The outcomes are not checked.
 	};
 
 	private static final PoolSpec SPEC = new PoolSpec(1, 2, 4, 200, 10, 1_000_000, 4_000);
@@ -30,7 +31,7 @@
 	private PoolDispatcher dispatcher = new PoolDispatcher(SPEC);
 
 	@BeforeMethod
-	void begin() {
+	void createDispatcher() {
 		this.dispatcher = new PoolDispatcher(SPEC);
 	}
 
@@ -41,28 +42,31 @@
 			.build();
 	}
 
-	private void ask(String request, long resultBytes) {
+	private void submit(String request, long resultBytes) {
 		this.dispatcher.submit(PieceJob.builder(new PieceId(request, 0, 0), "pool")
 			.source("key", List.of())
 			.dueBy(5_000, 9_000)
 			.result(resultBytes, false)
-			.build(), NOBODY);
+			.build(), IGNORE_OUTCOME);
 	}
 
-	/** Pattern: a failure domain is emptied in a call's time and taken back in it. */
+	/**
+	 * Guards against calls to an evacuated domain, and against losing the calls in
+	 * progress there.
+	 */
 	@Test
-	void anEvacuatedWorkerGetsNoCallAndKeepsTheOneItHas() {
+	void anEvacuatedWorkerGetsNoCallAndKeepsItsRunningCall() {
 		List<UpstreamEntry> workers = List.of(worker("near", "d1", 1), worker("far", "d2", 1));
 		this.dispatcher.updateWorkers(workers, Set.of());
-		ask("r1", 0);
+		submit("r1", 0);
 		PoolCall running = this.dispatcher.nextCall(0).orElseThrow();
 		String domain = running.worker().failureDomain();
 		this.dispatcher.updateWorkers(workers, Set.of(domain));
-		ask("r2", 0);
-		ask("r3", 0);
+		submit("r2", 0);
+		submit("r3", 0);
 		PoolCall other = this.dispatcher.nextCall(10).orElseThrow();
 		assertTrue(!other.worker().failureDomain().equals(domain), "evacuated");
-		ask("r4", 0);
+		submit("r4", 0);
 		assertTrue(this.dispatcher.nextCall(20).isEmpty());
 		this.dispatcher.updateWorkers(workers, Set.of());
 		assertTrue(this.dispatcher.nextCall(30).isEmpty(), "both still have their calls");
@@ -71,46 +75,50 @@
 	}
 
 	/**
-	 * Pattern: a failure domain is emptied while pieces wait and its workers are idle.
+	 * Guards against calls to idle workers of an evacuated domain, and against leaving
+	 * them unused afterwards.
 	 */
 	@Test
-	void anIdleWorkerThatIsEvacuatedGetsNoCallUntilThatIsTakenBack() {
+	void anIdleEvacuatedWorkerGetsNoCallUntilTheEvacuationEnds() {
 		List<UpstreamEntry> workers = List.of(worker("near", "d1", 1), worker("far", "d2", 1));
 		this.dispatcher.updateWorkers(workers, Set.of("d1", "d2"));
-		ask("r1", 0);
+		submit("r1", 0);
 		assertTrue(this.dispatcher.nextCall(0).isEmpty());
 		this.dispatcher.updateWorkers(workers, Set.of("d1"));
 		assertEquals(this.dispatcher.nextCall(10).orElseThrow().worker().failureDomain(), "d2");
-		ask("r2", 0);
+		submit("r2", 0);
 		assertTrue(this.dispatcher.nextCall(20).isEmpty());
 		this.dispatcher.updateWorkers(workers, Set.of());
 		assertEquals(this.dispatcher.nextCall(30).orElseThrow().worker().failureDomain(), "d1");
 	}
 
-	/** Pattern: a worker full of results restarts under the name that it had. */
+	/**
+	 * Guards against memory and calls of the former incarnation that are counted for the
+	 * new one.
+	 */
 	@Test
-	void aWorkerThatRestartedHasAllItsRoomAndItsFormerCallsAreNotCounted() {
+	void aRestartedWorkerStartsWithoutUsedMemoryAndCalls() {
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", 1)), Set.of());
-		ask("r1", 1_000_000);
+		submit("r1", 1_000_000);
 		PoolCall lost = this.dispatcher.nextCall(0).orElseThrow();
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", 2)), Set.of());
-		ask("r2", 1_000_000);
+		submit("r2", 1_000_000);
 		PoolCall fresh = this.dispatcher.nextCall(10).orElseThrow();
 		assertEquals(fresh.worker().startedMs().getAsLong(), 2);
 		this.dispatcher.onFailure(lost.number(), true, 20);
 		assertTrue(this.dispatcher.nextCall(30).isEmpty(), "the new one is busy with its own call");
 	}
 
-	/** Pattern: of two workers one takes no more calls for now, and pieces wait. */
+	/** Guards against calls that the limiter does not permit. */
 	@Test
-	void aWorkerGetsACallOnlyWhenItTakesOne() {
-		Set<String> closed = new HashSet<>(Set.of("w1"));
+	void aWorkerGetsACallOnlyIfTheLimiterPermits() {
+		Set<String> refused = new HashSet<>(Set.of("w1"));
 		List<String> called = new ArrayList<>();
 		PoolDispatcher limited = new PoolDispatcher(SPEC, new CallLimiter() {
 
 			@Override
 			public boolean mayCall(UpstreamEntry worker) {
-				return !closed.contains(worker.id());
+				return !refused.contains(worker.id());
 			}
 
 			@Override
@@ -125,18 +133,18 @@
 
 		});
 		limited.updateWorkers(List.of(worker("w1", "d1", 1), worker("w2", "d1", 1)), Set.of());
-		limited.submit(job("r1"), NOBODY);
-		limited.submit(job("r2"), NOBODY);
+		limited.submit(job("r1"), IGNORE_OUTCOME);
+		limited.submit(job("r2"), IGNORE_OUTCOME);
 		assertEquals(limited.nextCall(0).orElseThrow().worker().id(), "w2");
-		limited.submit(job("r3"), NOBODY);
+		limited.submit(job("r3"), IGNORE_OUTCOME);
 		assertTrue(limited.nextCall(10).isEmpty());
-		closed.clear();
+		refused.clear();
 		assertEquals(limited.nextCall(20).orElseThrow().worker().id(), "w1");
 		assertEquals(called, List.of("w2", "w1"));
 	}
 
-	/** What workers say of themselves, as one VM knows it. */
-	private static CallLimiter stated(UnavailabilityRegistry absences, long nowMs) {
+	/** Creates a limiter from the statements of workers. */
+	private static CallLimiter limiterOf(UnavailabilityRegistry unavailability, long nowMs) {
 		return new CallLimiter() {
 
 			@Override
@@ -146,61 +154,64 @@
 
 			@Override
 			public long acceptsInMs(UpstreamEntry worker) {
-				return absences.acceptsInMs(worker.incarnation(), nowMs);
+				return unavailability.acceptsInMs(worker.incarnation(), nowMs);
 			}
 
 			@Override
 			public void onCall(UpstreamEntry worker) {
-				// Nothing is counted.
+				// These workers have no limit to count against.
 			}
 
 		};
 	}
 
-	/** Pattern: of two workers one says that it leaves, or needs rest; pieces wait. */
+	/** Guards against calls to a worker that has stated that it is draining. */
 	@Test
-	void aWorkerThatLeavesOrRestsGetsNoCallAndPiecesGoToTheOther() {
-		UnavailabilityRegistry absences = new UnavailabilityRegistry();
-		PoolDispatcher pool = new PoolDispatcher(SPEC, stated(absences, 0));
-		UpstreamEntry leaving = worker("w1", "d1", 1);
+	void aDrainingWorkerGetsNoCallAndPiecesGoToTheOther() {
+		UnavailabilityRegistry unavailability = new UnavailabilityRegistry();
+		PoolDispatcher pool = new PoolDispatcher(SPEC, limiterOf(unavailability, 0));
+		UpstreamEntry draining = worker("w1", "d1", 1);
 		UpstreamEntry other = worker("w2", "d1", 1);
-		pool.updateWorkers(List.of(leaving, other), Set.of());
-		absences.onDraining(leaving.incarnation(), 0);
-		pool.submit(job("r1"), NOBODY);
+		pool.updateWorkers(List.of(draining, other), Set.of());
+		unavailability.onDraining(draining.incarnation(), 0);
+		pool.submit(job("r1"), IGNORE_OUTCOME);
 		assertEquals(pool.nextCall(0).orElseThrow().worker(), other);
-		pool.submit(job("r2"), NOBODY);
+		pool.submit(job("r2"), IGNORE_OUTCOME);
 		assertTrue(pool.nextCall(0).isEmpty(), "it waits for the other one");
 		assertEquals(pool.queueSize(), 1);
 	}
 
-	/** Pattern: all workers need rest, and a failure domain of others is evacuated. */
+	/**
+	 * Guards against pieces that stay queued, or get a wrong retry time, while all
+	 * workers are in backoff.
+	 */
 	@Test
-	void whereAllRestPiecesAreToldWhenTheFirstTakesCalls() {
-		UnavailabilityRegistry absences = new UnavailabilityRegistry();
-		PoolDispatcher pool = new PoolDispatcher(SPEC, stated(absences, 0));
-		List<PieceOutcome> heard = new ArrayList<>();
-		pool.submit(job("early"), (id, outcome) -> heard.add(outcome));
+	void whileAllWorkersBackOffPiecesFailWithTheEarliestRetryTime() {
+		UnavailabilityRegistry unavailability = new UnavailabilityRegistry();
+		PoolDispatcher pool = new PoolDispatcher(SPEC, limiterOf(unavailability, 0));
+		List<PieceOutcome> outcomes = new ArrayList<>();
+		pool.submit(job("early"), (id, outcome) -> outcomes.add(outcome));
 		assertTrue(pool.nextCall(0).isEmpty());
-		assertEquals(heard, List.of(), "which workers there are is not known yet");
+		assertEquals(outcomes, List.of(), "which workers there are is not known yet");
 		UpstreamEntry first = worker("w1", "d1", 1);
 		UpstreamEntry second = worker("w2", "d1", 1);
 		pool.updateWorkers(List.of(first, second, worker("w3", "d2", 1)), Set.of("d2"));
-		absences.onBackoff(first.incarnation(), 2_000, 0);
-		absences.onBackoff(second.incarnation(), 700, 0);
+		unavailability.onBackoff(first.incarnation(), 2_000, 0);
+		unavailability.onBackoff(second.incarnation(), 700, 0);
 		assertTrue(pool.nextCall(0).isEmpty());
-		assertEquals(heard, List.of(PieceOutcome.noWorker(700)));
+		assertEquals(outcomes, List.of(PieceOutcome.noWorker(700)));
 		assertEquals(pool.queueSize(), 0);
 	}
 
-	/** Pattern: all workers of a pool have left before others take their place. */
+	/** Guards against pieces that stay queued in a pool without workers. */
 	@Test
-	void withoutAnyWorkerPiecesAreNotHeld() {
-		List<PieceOutcome> heard = new ArrayList<>();
+	void withoutWorkersPiecesAreNotQueued() {
+		List<PieceOutcome> outcomes = new ArrayList<>();
 		this.dispatcher.updateWorkers(List.of(), Set.of());
-		this.dispatcher.submit(job("r1"), (id, outcome) -> heard.add(outcome));
+		this.dispatcher.submit(job("r1"), (id, outcome) -> outcomes.add(outcome));
 		assertTrue(this.dispatcher.nextCall(0).isEmpty());
-		assertEquals(heard.get(0).status(), PieceOutcome.Status.NO_WORKER);
-		assertTrue(heard.get(0).retryAfterMs() > 0);
+		assertEquals(outcomes.get(0).status(), PieceOutcome.Status.NO_WORKER);
+		assertTrue(outcomes.get(0).retryAfterMs() > 0);
 	}
 
 	private static PieceJob job(String request) {
--- a/core/src/test/java/org/tallycart/core/pool/QueueOrderTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/QueueOrderTests.java
@@ -12,8 +12,8 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for the order of a pool's queue. A call of one piece takes 220 ms, a full one of
- * four 280 ms; there is one worker.
+ * Tests for {@link QueueOrder} with one worker. A call of one piece takes 220 ms, a full
+ * call of four pieces 280 ms.
  */
 public class QueueOrderTests {
 
@@ -22,60 +22,64 @@
 	@DataProvider
 	static Object[][] queues() {
 		return new Object[][] {
-				{ "all can be on time: needed first, first", List.of("a 2 400", "b 0 900", "c 1 600"), "a c b" },
-				{ "no call can make it: last", List.of("late 0 100", "a 2 400", "b 1 900"), "a b late" },
-				{ "more than a call of the same rank: the last one needed gives way",
+				{ "all can be on time: sorted by objective", List.of("a 2 400", "b 0 900", "c 1 600"), "a c b" },
+				{ "a piece that is late in any case comes last", List.of("late 0 100", "a 2 400", "b 1 900"),
+						"a b late" },
+				{ "more than one call of the same priority: the latest objective is deferred",
 						List.of("a 1 290", "b 1 291", "c 1 292", "d 1 293", "e 1 294"), "a b c d e" },
-				{ "a burst of urgent work: the least urgent gives way though it is needed first",
+				{ "a burst of urgent pieces: the least urgent is deferred despite its earlier objective",
 						List.of("x 2 285", "a 0 290", "b 0 290", "c 0 290", "d 0 290"), "a b c d x" },
-				{ "what gave way is made in order of rank",
+				{ "deferred pieces are sorted by priority",
 						List.of("x 2 285", "y 1 285", "a 0 290", "b 0 290", "c 0 290", "d 0 290"), "a b c d y x" },
-				{ "urgent work that is late itself does not push others out",
+				{ "an urgent piece that is late in any case displaces no others",
 						List.of("late 0 100", "a 2 285", "b 2 285", "c 2 285", "d 2 285"), "a b c d late" } };
 	}
 
 	@Test(dataProvider = "queues")
-	void theOrderIs(String pattern, List<String> queue, String expected) {
-		List<PendingPiece> waiting = new ArrayList<>();
+	void piecesAreSorted(String pattern, List<String> queue, String expected) {
+		List<PendingPiece> pieces = new ArrayList<>();
 		for (String each : queue) {
 			String[] words = each.split(" ");
 			PieceJob job = PieceJob.builder(new PieceId(words[0], 0, 0), "pool")
 				.dueBy(Long.parseLong(words[2]), 9_000)
 				.priority(Integer.parseInt(words[1]))
 				.build();
-			waiting.add(new PendingPiece(job, (id, outcome) -> {
+			pieces.add(new PendingPiece(job, (id, outcome) -> {
 			}));
 		}
-		List<String> ordered = new QueueOrder(SPEC, 1, 0).of(waiting)
+		List<String> ordered = new QueueOrder(SPEC, 1, 0).sort(pieces)
 			.stream()
 			.map((each) -> each.job().id().requestId())
 			.toList();
 		assertEquals(ordered, Arrays.asList(expected.split(" ")), pattern);
 	}
 
-	/** Two seconds of work are late, in a pool of one worker with 14 pieces a second. */
+	/**
+	 * Guards against late work that grows without bound: of two seconds of it, one second
+	 * of the least urgent is shed.
+	 */
 	@Test
-	void beyondASecondOfLateWorkTheLeastUrgentThatIsNotBegunIsTooMuch() {
-		List<PendingPiece> waiting = new ArrayList<>();
+	void leastUrgentNewPiecesBeyondOneSecondOfLateWorkAreExcess() {
+		List<PendingPiece> pieces = new ArrayList<>();
 		for (int i = 0; i < 14; i++) {
-			waiting.add(late("urgent" + i, 1, List.of()));
-			waiting.add(late("other" + i, 2, List.of()));
+			pieces.add(late("urgent" + i, 1, List.of()));
+			pieces.add(late("other" + i, 2, List.of()));
 		}
-		waiting.add(late("begun", 2, List.of("m/1")));
-		List<String> tooMuch = new QueueOrder(SPEC, 1, 0).tooMuch(waiting)
+		pieces.add(late("begun", 2, List.of("m/1")));
+		List<String> excess = new QueueOrder(SPEC, 1, 0).findExcess(pieces)
 			.stream()
 			.map((each) -> each.job().id().requestId())
 			.toList();
-		assertEquals(tooMuch.size(), 14);
-		assertTrue(tooMuch.stream().allMatch((request) -> request.startsWith("other")), tooMuch.toString());
-		assertEquals(new QueueOrder(SPEC, 3, 0).tooMuch(waiting), List.of(), "three workers have time for it");
+		assertEquals(excess.size(), 14);
+		assertTrue(excess.stream().allMatch((request) -> request.startsWith("other")), excess.toString());
+		assertEquals(new QueueOrder(SPEC, 3, 0).findExcess(pieces), List.of(), "three workers have time for it");
 	}
 
-	private static PendingPiece late(String request, int rank, List<String> inputs) {
+	private static PendingPiece late(String request, int priority, List<String> inputs) {
 		PieceJob job = PieceJob.builder(new PieceId(request, 0, 0), "pool")
 			.source("k", inputs)
 			.dueBy(10, 9_000)
-			.priority(rank)
+			.priority(priority)
 			.build();
 		return new PendingPiece(job, (id, outcome) -> {
 		});
--- a/core/src/test/java/org/tallycart/core/pool/StagePlanTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/StagePlanTests.java
@@ -10,17 +10,17 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for the plan of a request's stages.
+ * Tests for {@link StagePlan}.
  */
 public class StagePlanTests {
 
-	/** Two chains: one stage of its own, and three stages one after the other. */
+	/** A single stage with a large result, and a chain of three stages. */
 	private static final List<StageSpec> STAGES = List.of(new StageSpec("a", List.of(), 1_500_000),
 			new StageSpec("a", List.of(), 8_000), new StageSpec("b", List.of(1), 60_000),
 			new StageSpec("c", List.of(2), 6_000));
 
 	@Test
-	void stagesStartWhenTheirInputsAreMade() {
+	void stagesStartWhenTheirDependenciesAreCompleted() {
 		StagePlan plan = new StagePlan(STAGES, List.of(1, 1, 2, 1));
 		assertEquals(plan.startReady(), List.of(1), "the large result waits for the chain");
 		plan.onCompleted(1, 0, "m/1");
@@ -39,7 +39,7 @@
 	}
 
 	@Test
-	void theLongestChainTells() {
+	void theCriticalPathIsTheLongestChain() {
 		long[] stageMs = { 700, 100, 200, 300 };
 		assertEquals(new StagePlan(STAGES, List.of(1, 1, 1, 1)).criticalPathMs((i) -> stageMs[i]), 700);
 		assertEquals(new StagePlan(STAGES, List.of(0, 1, 0, 1)).criticalPathMs((i) -> stageMs[i]), 400);
@@ -47,7 +47,7 @@
 	}
 
 	@Test
-	void stagesWithoutPiecesAreOmitted() {
+	void stagesWithoutPiecesAreSkipped() {
 		StagePlan plan = new StagePlan(STAGES, List.of(0, 1, 1, 1));
 		assertEquals(plan.startReady(), List.of(1));
 		StagePlan empty = new StagePlan(STAGES, List.of());
@@ -57,13 +57,13 @@
 	}
 
 	@Test
-	void aLargeResultWithoutOtherStagesIsMadeAtOnce() {
+	void aStageWithLargeResultsStartsAtOnceWithoutOtherStages() {
 		assertEquals(new StagePlan(STAGES, List.of(2, 0, 0, 0)).startReady(), List.of(0));
 		assertEquals(new StagePlan(STAGES.subList(0, 1), List.of(1)).startReady(), List.of(0));
 	}
 
 	@Test
-	void inputsAndReadersAreCounted() {
+	void inputBytesAndDependentStagesAreReported() {
 		StagePlan plan = new StagePlan(STAGES, List.of(1, 1, 6, 10));
 		assertEquals(plan.inputBytes(0), 0);
 		assertEquals(plan.inputBytes(2), 8_000);
@@ -75,7 +75,7 @@
 	}
 
 	@Test
-	void resultsAreTakenBackWhenAllPiecesMadeFromThemHaveReadThem() {
+	void resultsAreReleasableWhenAllDependentPiecesHaveReadThem() {
 		StagePlan plan = new StagePlan(STAGES, List.of(0, 1, 1, 2));
 		plan.startReady();
 		plan.onCompleted(1, 0, "m/1");
@@ -97,7 +97,7 @@
 	}
 
 	@Test
-	void resultsAreTakenBackOnceWhenNothingNeedsThem() {
+	void resultsAreReturnedForReleaseOnce() {
 		StagePlan plan = new StagePlan(STAGES, List.of(1, 1, 1, 1));
 		plan.startReady();
 		plan.onCompleted(0, 0, "m/0");
@@ -116,7 +116,7 @@
 	}
 
 	@Test
-	void aResetMakesEverythingAgain() {
+	void aResetRestartsAllStages() {
 		StagePlan plan = new StagePlan(STAGES, List.of(1, 1, 1, 1));
 		plan.startReady();
 		plan.onCompleted(0, 0, "m/0");
--- a/core/src/test/java/org/tallycart/core/pool/model/PoolLoadTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/model/PoolLoadTests.java
@@ -11,10 +11,10 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Patterns of load on chained pools, played in virtual time.
+ * Tests for bursts of load on chained pools, simulated in virtual time.
  * <p>
- * The pools are of the kind that the users run: a call costs 200 ms whatever it holds, a
- * full one about 370 ms, and a worker has room for the results of two full calls.
+ * A call has a fixed cost of 200 ms, a full one takes about 370 ms, and a worker has
+ * result memory for two full calls.
  */
 public class PoolLoadTests {
 
@@ -29,11 +29,11 @@
 	private static final List<StageSpec> CHAIN = List.of(new StageSpec("first", List.of(), 8_000),
 			new StageSpec("second", List.of(0), 60_000), new StageSpec("third", List.of(1), 6_000));
 
-	/** Least share of requests that are on time only because room is given back early. */
-	private static final double LEAST_GAIN = 0.05;
+	/** Minimum gain in the share of requests on time. */
+	private static final double MIN_GAIN = 0.05;
 
-	/** Most of both kinds' shares that ranks may cost. */
-	private static final double MOST_LOSS = 0.05;
+	/** Maximum loss in the sum of both kinds' shares by the use of priorities. */
+	private static final double MAX_LOSS = 0.05;
 
 	private static final int SEEDS = 16;
 
@@ -41,82 +41,83 @@
 
 	private static final List<Double> CHAIN_PIECES = List.of(1.0, 6.0, 10.0);
 
-	private static PoolSimulation model(long seed, boolean early) {
-		return new PoolSimulation(seed, early).pool("first", FIRST, "d", "d", "d")
+	private static PoolSimulation simulation(long seed, boolean releasesInputsEarly) {
+		return new PoolSimulation(seed, releasesInputsEarly).pool("first", FIRST, "d", "d", "d")
 			.pool("second", SECOND, "d", "d", "d", "d")
 			.pool("third", THIRD, "d", "d", "d", "d");
 	}
 
 	/**
-	 * A burst on a chain of pools needs all that full calls give. The room for results
-	 * then binds before the workers' time does, unless a call's inputs are given back
-	 * when they have been read.
+	 * Guards against a burst that is limited by result memory: inputs have to be released
+	 * when they are read, not at the end of the call.
 	 */
 	@Test
-	void aBurstOnAChainIsNotHeldUpByRoomForResults() {
+	void aBurstOnAChainIsNotLimitedByResultMemory() {
 		RequestKind.Burst burst = new RequestKind.Burst(3_000, 9_000, 2.0);
 		RequestKind kind = new RequestKind("chain", 19, 1, 2_300, 6_000, 150, CHAIN, CHAIN_PIECES, burst);
-		double atTheEnd = onTime(kind, false);
-		double whenRead = onTime(kind, true);
-		assertTrue(whenRead - atTheEnd >= LEAST_GAIN, "on time with inputs given back at the end of the call: "
-				+ atTheEnd + ", when they were read: " + whenRead);
+		double releasedAtCallEnd = onTime(kind, false);
+		double releasedWhenRead = onTime(kind, true);
+		assertTrue(releasedWhenRead - releasedAtCallEnd >= MIN_GAIN,
+				"on time with inputs released at the end of the call: " + releasedAtCallEnd + ", when they were read: "
+						+ releasedWhenRead);
 	}
 
 	/**
-	 * A burst beyond what the pools can do, of two kinds alike but for their rank. The
-	 * more urgent kind is on time, at the cost of the other, and not of the sum.
+	 * Guards against overload that delays both priorities alike, or that lowers the sum
+	 * of requests on time.
 	 */
 	@Test
-	void inABurstBeyondThePoolsTheLeastUrgentGivesWay() {
+	void underOverloadTheLessUrgentKindIsDeferred() {
 		RequestKind.Burst burst = new RequestKind.Burst(3_000, 9_000, 2.3);
-		double[] apart = bothOnTime(burst, 1, 2);
-		double[] alike = bothOnTime(burst, 1, 1);
-		String shares = Arrays.toString(apart) + " with ranks, " + Arrays.toString(alike) + " without";
-		assertTrue(apart[0] >= alike[0] + LEAST_GAIN, shares);
-		assertTrue(apart[0] + apart[1] >= alike[0] + alike[1] - MOST_LOSS, shares);
+		double[] withPriorities = bothOnTime(burst, 1, 2);
+		double[] withoutPriorities = bothOnTime(burst, 1, 1);
+		String shares = Arrays.toString(withPriorities) + " with priorities, " + Arrays.toString(withoutPriorities)
+				+ " without";
+		assertTrue(withPriorities[0] >= withoutPriorities[0] + MIN_GAIN, shares);
+		assertTrue(withPriorities[0] + withPriorities[1] >= withoutPriorities[0] + withoutPriorities[1] - MAX_LOSS,
+				shares);
 	}
 
 	/**
-	 * A burst on a chain whose middle pool gets pieces in groups of 6 for calls of 10, as
-	 * large as full calls can carry. Groups taken whole or not at all would leave 4 of 10
-	 * places empty, and the queue would grow as long as the burst lasts.
+	 * Guards against partly filled calls when the group size does not divide the batch
+	 * size: the queue would grow as long as the burst lasts.
 	 */
 	@Test
-	void aBurstOfGroupsThatDoNotDivideACallIsCarriedByFullCalls() {
+	void aBurstOfGroupsThatDoNotDivideTheBatchSizeIsProcessedInFullCalls() {
 		RequestKind.Burst burst = new RequestKind.Burst(2_000, 9_000, 2.0);
 		RequestKind kind = new RequestKind("chain", 11, 1, 3_100, 6_000, 150, CHAIN, CHAIN_PIECES, burst);
 		double onTime = 0;
 		double piecesPerCall = 0;
 		for (long seed = 1; seed <= SEEDS; seed++) {
-			PoolSimulation model = new PoolSimulation(seed, true).pool("first", FIRST, "d", "d")
+			PoolSimulation simulation = new PoolSimulation(seed, true).pool("first", FIRST, "d", "d")
 				.pool("second", GROUPS_DO_NOT_DIVIDE, "d", "d", "d", "d", "d")
 				.pool("third", THIRD, "d", "d", "d")
 				.kind(kind);
-			model.run(LENGTH_MS);
-			onTime += model.result("chain").onTimeShare() / SEEDS;
-			piecesPerCall += model.pool("second").piecesPerCall() / SEEDS;
+			simulation.run(LENGTH_MS);
+			onTime += simulation.result("chain").onTimeShare() / SEEDS;
+			piecesPerCall += simulation.pool("second").piecesPerCall() / SEEDS;
 		}
 		assertTrue(onTime >= 0.9, "on time: " + onTime + ", pieces a call: " + piecesPerCall);
 	}
 
-	private static double[] bothOnTime(RequestKind.Burst burst, int firstRank, int secondRank) {
+	private static double[] bothOnTime(RequestKind.Burst burst, int firstPriority, int secondPriority) {
 		double[] shares = new double[2];
 		for (long seed = 1; seed <= SEEDS; seed++) {
-			PoolSimulation model = model(seed, true)
-				.kind(new RequestKind("a", 10, firstRank, 2_300, 6_000, 150, CHAIN, CHAIN_PIECES, burst))
-				.kind(new RequestKind("b", 10, secondRank, 2_500, 20_000, 150, CHAIN, CHAIN_PIECES, burst));
-			model.run(LENGTH_MS);
-			shares[0] += model.result("a").onTimeShare() / SEEDS;
-			shares[1] += model.result("b").onTimeShare() / SEEDS;
+			PoolSimulation simulation = simulation(seed, true)
+				.kind(new RequestKind("a", 10, firstPriority, 2_300, 6_000, 150, CHAIN, CHAIN_PIECES, burst))
+				.kind(new RequestKind("b", 10, secondPriority, 2_500, 20_000, 150, CHAIN, CHAIN_PIECES, burst));
+			simulation.run(LENGTH_MS);
+			shares[0] += simulation.result("a").onTimeShare() / SEEDS;
+			shares[1] += simulation.result("b").onTimeShare() / SEEDS;
 		}
 		return shares;
 	}
 
-	private static double onTime(RequestKind kind, boolean inputsGivenBackEarly) {
+	private static double onTime(RequestKind kind, boolean releasesInputsEarly) {
 		return LongStream.rangeClosed(1, SEEDS).mapToDouble((seed) -> {
-			PoolSimulation model = model(seed, inputsGivenBackEarly).kind(kind);
-			model.run(LENGTH_MS);
-			return model.result(kind.name()).onTimeShare();
+			PoolSimulation simulation = simulation(seed, releasesInputsEarly).kind(kind);
+			simulation.run(LENGTH_MS);
+			return simulation.result(kind.name()).onTimeShare();
 		}).average().orElseThrow();
 	}
 
--- a/core/src/test/java/org/tallycart/core/pool/model/PoolSimulation.java
+++ b/core/src/test/java/org/tallycart/core/pool/model/PoolSimulation.java
@@ -20,28 +20,28 @@
 import org.tallycart.core.serving.UpstreamEntry;
 
 /**
- * Plays callers and the workers of stage pools in virtual time before the dispatchers
- * that the serving process runs. No network, no threads, no clock.
+ * Simulates callers and the workers of stage pools in virtual time against the production
+ * dispatchers. No network, no threads, no clock.
  * <p>
- * A worker begins a call when it is idle, reads its inputs then, keeps the results until
- * they are given back, and answers {@code late}, {@code gone} or {@code room} as the
- * platform's workers do. Messages between VMs take a fixed time. Engines are always free.
+ * A worker starts a call when it is idle, reads the inputs then, stores the results until
+ * they are released, and reports missing inputs and full result memory as the platform's
+ * workers do. Messages between VMs take a fixed time. Engines are always free.
  * <p>
  * Not thread-safe: belongs to one test.
  */
 final class PoolSimulation {
 
-	/** A message between two VMs, or to a worker, in milliseconds. */
+	/** Latency of a message between VMs or to a worker, in milliseconds. */
 	private static final long MESSAGE_MS = 3;
 
-	/** How often a dispatcher is ticked, in milliseconds. */
+	/** Interval between ticks of a dispatcher, in milliseconds. */
 	private static final long TICK_MS = 25;
 
-	/** When the inputs of a call that begins have been read, in milliseconds. */
-	private static final long READ_MS = 10;
+	/** Time from the start of a call until its inputs are read, in milliseconds. */
+	private static final long INPUT_READ_MS = 10;
 
-	/** When a result that is given back leaves room, in milliseconds. */
-	private static final long GIVE_BACK_MS = 12;
+	/** Time from the release of a result until its memory is free, in milliseconds. */
+	private static final long RELEASE_MS = 12;
 
 	private final PriorityQueue<Event> events = new PriorityQueue<>();
 
@@ -53,21 +53,21 @@
 
 	private final Random random;
 
-	private final boolean inputsGivenBackEarly;
+	private final boolean releasesInputsEarly;
 
 	private long nowMs;
 
 	private long sequence;
 
 	/**
-	 * Create a model.
-	 * @param seed of arrivals and counts of pieces
-	 * @param inputsGivenBackEarly whether a request gives inputs back when they have been
-	 * read, and not when the pieces made from them are there
+	 * Create a simulation.
+	 * @param seed the seed of arrivals and piece counts
+	 * @param releasesInputsEarly whether a request releases inputs when they have been
+	 * read rather than when the pieces computed from them are completed
 	 */
-	PoolSimulation(long seed, boolean inputsGivenBackEarly) {
+	PoolSimulation(long seed, boolean releasesInputsEarly) {
 		this.random = new Random(seed);
-		this.inputsGivenBackEarly = inputsGivenBackEarly;
+		this.releasesInputsEarly = releasesInputsEarly;
 	}
 
 	PoolSimulation pool(String name, PoolSpec spec, String... domains) {
@@ -82,12 +82,12 @@
 	}
 
 	/**
-	 * Play the arrivals of some time, and what becomes of them.
-	 * @param lengthMs how long requests arrive, in milliseconds
+	 * Simulate arrivals and the requests that follow from them.
+	 * @param lengthMs the duration of arrivals, in milliseconds
 	 */
 	void run(long lengthMs) {
 		for (RequestKind kind : this.kinds) {
-			arrivals(kind, lengthMs);
+			scheduleArrivals(kind, lengthMs);
 		}
 		this.pools.values().forEach((pool) -> at(TICK_MS, pool::tick));
 		long endMs = lengthMs + 30_000;
@@ -98,17 +98,17 @@
 		}
 	}
 
-	private void arrivals(RequestKind kind, long lengthMs) {
-		double ms = 0;
+	private void scheduleArrivals(RequestKind kind, long lengthMs) {
+		double atMs = 0;
 		int number = 0;
 		while (true) {
-			ms += -Math.log(1 - this.random.nextDouble()) * 1_000 / kind.perSecond((long) ms);
-			if (ms >= lengthMs) {
+			atMs += -Math.log(1 - this.random.nextDouble()) * 1_000 / kind.perSecond((long) atMs);
+			if (atMs >= lengthMs) {
 				return;
 			}
-			SimulatedRequest request = new SimulatedRequest(this, kind, kind.name() + "-" + number, (long) ms,
+			SimulatedRequest request = new SimulatedRequest(this, kind, kind.name() + "-" + number, (long) atMs,
 					kind.pieceCounts(this.random));
-			at((long) ms, request::start);
+			at((long) atMs, request::start);
 			number++;
 		}
 	}
@@ -118,16 +118,16 @@
 		this.events.add(new Event(atMs, this.sequence, action));
 	}
 
-	void after(long ms, Runnable action) {
-		at(this.nowMs + ms, action);
+	void after(long delayMs, Runnable action) {
+		at(this.nowMs + delayMs, action);
 	}
 
 	long nowMs() {
 		return this.nowMs;
 	}
 
-	boolean inputsGivenBackEarly() {
-		return this.inputsGivenBackEarly;
+	boolean releasesInputsEarly() {
+		return this.releasesInputsEarly;
 	}
 
 	RequestStats result(String kind) {
@@ -138,17 +138,17 @@
 		return this.pools.get(name);
 	}
 
-	/** What became of the requests of a kind. */
+	/** Counts of the requests of a kind by result. */
 	static final class RequestStats {
 
-		private int asked;
+		private int arrived;
 
 		private int onTime;
 
 		private int answered;
 
-		void onAsked() {
-			this.asked++;
+		void onArrived() {
+			this.arrived++;
 		}
 
 		void onAnswered(boolean inTime) {
@@ -159,21 +159,21 @@
 		}
 
 		double onTimeShare() {
-			return (double) this.onTime / this.asked;
+			return (double) this.onTime / this.arrived;
 		}
 
 		double answeredShare() {
-			return (double) this.answered / this.asked;
+			return (double) this.answered / this.arrived;
 		}
 
 	}
 
 	/**
-	 * Something that happens.
+	 * Scheduled action.
 	 *
-	 * @param atMs when
-	 * @param sequence the order among what happens at the same time
-	 * @param action what
+	 * @param atMs the virtual time, in milliseconds
+	 * @param sequence the order among events of the same time
+	 * @param action the action
 	 */
 	private record Event(long atMs, long sequence, Runnable action) implements Comparable<Event> {
 
@@ -185,7 +185,7 @@
 
 	}
 
-	/** A pool: its dispatcher, and its workers. */
+	/** Pool with its dispatcher and workers. */
 	final class Pool {
 
 		private final PoolSpec spec;
@@ -216,7 +216,7 @@
 		}
 
 		/**
-		 * Return how many pieces a call held.
+		 * Return the mean number of pieces of a call.
 		 * @return the mean
 		 */
 		double piecesPerCall() {
@@ -228,7 +228,7 @@
 		}
 
 		void release(List<String> handles) {
-			after(GIVE_BACK_MS, () -> {
+			after(RELEASE_MS, () -> {
 				handles.forEach((handle) -> this.workers.values().forEach((worker) -> worker.drop(handle)));
 				this.dispatcher.release(handles);
 				pump();
@@ -244,10 +244,10 @@
 		void pump() {
 			Optional<PoolCall> call = this.dispatcher.nextCall(PoolSimulation.this.nowMs);
 			while (call.isPresent()) {
-				PoolCall made = call.get();
+				PoolCall scheduled = call.get();
 				this.calls++;
-				this.pieces += made.jobs().size();
-				after(MESSAGE_MS, () -> this.workers.get(made.worker().id()).take(this, made));
+				this.pieces += scheduled.jobs().size();
+				after(MESSAGE_MS, () -> this.workers.get(scheduled.worker().id()).accept(this, scheduled));
 				call = this.dispatcher.nextCall(PoolSimulation.this.nowMs);
 			}
 		}
@@ -265,7 +265,7 @@
 
 	}
 
-	/** A worker of a pool. */
+	/** Simulated worker of a pool. */
 	final class Worker {
 
 		private final PoolSpec spec;
@@ -276,40 +276,40 @@
 
 		private long freeAtMs;
 
-		private double pace = 1;
+		private double slowdown = 1;
 
 		private Worker(PoolSpec spec) {
 			this.spec = spec;
 		}
 
 		void slow(double times) {
-			this.pace = times;
+			this.slowdown = times;
 		}
 
-		private void take(Pool pool, PoolCall call) {
-			long turnMs = Math.max(PoolSimulation.this.nowMs, this.freeAtMs);
-			this.freeAtMs = turnMs + (long) (this.spec.expectedMs(call.jobs().size()) * this.pace);
-			at(turnMs + READ_MS, () -> begin(pool, call));
+		private void accept(Pool pool, PoolCall call) {
+			long startMs = Math.max(PoolSimulation.this.nowMs, this.freeAtMs);
+			this.freeAtMs = startMs + (long) (this.spec.expectedMs(call.jobs().size()) * this.slowdown);
+			at(startMs + INPUT_READ_MS, () -> startCall(pool, call));
 		}
 
-		private void begin(Pool pool, PoolCall call) {
+		private void startCall(Pool pool, PoolCall call) {
 			List<PieceOutcome> outcomes = new ArrayList<>();
 			for (PieceJob job : call.jobs()) {
-				outcomes.add(begin(job));
+				outcomes.add(process(job));
 			}
 			at(this.freeAtMs, () -> pool.onEnd(call, outcomes));
 		}
 
-		private PieceOutcome begin(PieceJob job) {
-			boolean there = job.inputs()
+		private PieceOutcome process(PieceJob job) {
+			boolean inputsExist = job.inputs()
 				.stream()
 				.allMatch(
 						(input) -> PoolSimulation.this.pools.values().stream().anyMatch((pool) -> pool.exists(input)));
-			if (!there) {
+			if (!inputsExist) {
 				return PieceOutcome.notCompleted(PieceOutcome.Status.INPUT_GONE);
 			}
-			long taken = this.bytes.values().stream().mapToLong(Long::longValue).sum();
-			if (taken + job.resultBytes() > this.spec.resultMemoryBytes()) {
+			long usedBytes = this.bytes.values().stream().mapToLong(Long::longValue).sum();
+			if (usedBytes + job.resultBytes() > this.spec.resultMemoryBytes()) {
 				return PieceOutcome.notCompleted(PieceOutcome.Status.NO_ROOM);
 			}
 			String handle = job.service() + "/" + job.id().requestId() + "/" + job.id().stage() + "/"
--- a/core/src/test/java/org/tallycart/core/pool/model/RequestKind.java
+++ b/core/src/test/java/org/tallycart/core/pool/model/RequestKind.java
@@ -7,27 +7,29 @@
 import org.tallycart.core.serving.StageSpec;
 
 /**
- * A kind of request that the model's callers send.
+ * Kind of request that the simulated callers send.
  *
- * @param name its name
- * @param perSecond arrivals in a second, outside its burst
- * @param rank its rank; 0 is the most urgent
- * @param objectiveMs when an answer is still on time, in milliseconds from the arrival
- * @param deadlineMs when callers leave, in milliseconds from the arrival
- * @param engineMs what the engine takes after the stages, in milliseconds
- * @param stages its stages
+ * @param name the name of the kind
+ * @param perSecond arrivals per second outside the burst
+ * @param priority the priority; 0 is the most urgent
+ * @param objectiveMs time within which a response is on time, in milliseconds from the
+ * arrival
+ * @param deadlineMs time after which callers disconnect, in milliseconds from the arrival
+ * @param engineMs duration of the engine's part after the stages, in milliseconds
+ * @param stages the stages
  * @param pieces the mean number of pieces of each stage
- * @param burst when more of it arrive
+ * @param burst the interval with more arrivals
  */
-record RequestKind(String name, double perSecond, int rank, long objectiveMs, long deadlineMs, long engineMs,
+record RequestKind(String name, double perSecond, int priority, long objectiveMs, long deadlineMs, long engineMs,
 		List<StageSpec> stages, List<Double> pieces, Burst burst) {
 
 	double perSecond(long atMs) {
 		boolean inBurst = atMs >= this.burst.fromMs() && atMs < this.burst.toMs();
-		return inBurst ? this.perSecond * this.burst.times() : this.perSecond;
+		return inBurst ? this.perSecond * this.burst.factor() : this.perSecond;
 	}
 
-	// Whole means are kept; of the others, half of the requests have more and half less.
+	// A whole mean gives the same count for all requests; another one is rounded at
+	// random.
 	List<Integer> pieceCounts(Random random) {
 		List<Integer> counts = new ArrayList<>();
 		for (double mean : this.pieces) {
@@ -37,13 +39,13 @@
 	}
 
 	/**
-	 * A time in which more requests arrive.
+	 * Interval in which more requests arrive.
 	 *
-	 * @param fromMs its begin, in milliseconds
-	 * @param toMs its end, in milliseconds
-	 * @param times how many times as many
+	 * @param fromMs the start, in milliseconds
+	 * @param toMs the end, in milliseconds
+	 * @param factor multiplies the arrivals per second
 	 */
-	record Burst(long fromMs, long toMs, double times) {
+	record Burst(long fromMs, long toMs, double factor) {
 
 		static final Burst NONE = new Burst(0, 0, 1);
 
--- a/core/src/test/java/org/tallycart/core/pool/model/SimulatedRequest.java
+++ b/core/src/test/java/org/tallycart/core/pool/model/SimulatedRequest.java
@@ -12,19 +12,21 @@
 import org.tallycart.core.serving.StageSpec;
 
 /**
- * A request in the model: asks for its pieces as its plan allows, gives results back when
- * they are read, and counts as answered when its engine has begun to answer.
+ * Simulated request: submits its pieces as its plan allows, releases results when they
+ * are read, and counts as answered when its engine starts the response.
  * <p>
- * Not thread-safe: belongs to one model.
+ * Not thread-safe: belongs to one simulation.
  */
 final class SimulatedRequest implements PieceListener {
 
-	/** What a stage usually takes, in milliseconds: a wait for a call, and the call. */
+	/**
+	 * Expected duration of a stage, in milliseconds: the wait for a call, and the call.
+	 */
 	private static final long STAGE_MS = 400;
 
 	private static final long MESSAGE_MS = 3;
 
-	private final PoolSimulation model;
+	private final PoolSimulation simulation;
 
 	private final RequestKind kind;
 
@@ -34,12 +36,12 @@
 
 	private final StagePlan plan;
 
-	private final Set<PieceId> waiting = new HashSet<>();
+	private final Set<PieceId> pending = new HashSet<>();
 
 	private boolean ended;
 
-	SimulatedRequest(PoolSimulation model, RequestKind kind, String id, long arrivedMs, List<Integer> pieces) {
-		this.model = model;
+	SimulatedRequest(PoolSimulation simulation, RequestKind kind, String id, long arrivedMs, List<Integer> pieces) {
+		this.simulation = simulation;
 		this.kind = kind;
 		this.id = id;
 		this.arrivedMs = arrivedMs;
@@ -47,52 +49,52 @@
 	}
 
 	void start() {
-		this.model.result(this.kind.name()).onAsked();
-		this.model.after(this.kind.deadlineMs(), this::end);
+		this.simulation.result(this.kind.name()).onArrived();
+		this.simulation.after(this.kind.deadlineMs(), this::end);
 		startStages();
 	}
 
 	private void startStages() {
-		this.plan.startReady().forEach(this::ask);
+		this.plan.startReady().forEach(this::submit);
 		if (this.plan.isComplete()) {
-			this.model.after(this.kind.engineMs(), this::answer);
+			this.simulation.after(this.kind.engineMs(), this::answer);
 		}
 	}
 
-	private void ask(int stage) {
+	private void submit(int stage) {
 		StageSpec spec = this.kind.stages().get(stage);
-		long behindMs = this.plan.stagesAfter(stage) * STAGE_MS + this.kind.engineMs();
+		long remainingMs = this.plan.stagesAfter(stage) * STAGE_MS + this.kind.engineMs();
 		long inputBytes = this.plan.inputBytes(stage);
 		for (int piece = 0; piece < this.plan.pieceCount(stage); piece++) {
-			PieceId piecesId = new PieceId(this.id, stage, piece);
-			this.waiting.add(piecesId);
-			PieceJob job = PieceJob.builder(piecesId, spec.service())
+			PieceId pieceId = new PieceId(this.id, stage, piece);
+			this.pending.add(pieceId);
+			PieceJob job = PieceJob.builder(pieceId, spec.service())
 				.source("k", this.plan.inputs(stage))
-				.dueBy(this.arrivedMs + this.kind.objectiveMs() - behindMs,
-						this.arrivedMs + this.kind.deadlineMs() - behindMs)
-				.priority(this.kind.rank())
+				.dueBy(this.arrivedMs + this.kind.objectiveMs() - remainingMs,
+						this.arrivedMs + this.kind.deadlineMs() - remainingMs)
+				.priority(this.kind.priority())
 				.preferredDomain("d", Math.max(inputBytes, spec.resultBytes()))
 				.result(spec.resultBytes(), this.plan.hasReaders(stage))
 				.build();
-			this.model.after(MESSAGE_MS, () -> askIfWanted(job));
+			this.simulation.after(MESSAGE_MS, () -> submitIfPending(job));
 		}
-		this.model.after(MESSAGE_MS, this.model.pool(spec.service())::pump);
+		this.simulation.after(MESSAGE_MS, this.simulation.pool(spec.service())::pump);
 	}
 
-	private void askIfWanted(PieceJob job) {
-		if (this.waiting.contains(job.id())) {
-			this.model.pool(job.service()).dispatcher().submit(job, this);
+	private void submitIfPending(PieceJob job) {
+		if (this.pending.contains(job.id())) {
+			this.simulation.pool(job.service()).dispatcher().submit(job, this);
 		}
 	}
 
 	@Override
 	public void onOutcome(PieceId piece, PieceOutcome outcome) {
-		this.model.after(MESSAGE_MS, () -> take(piece, outcome));
+		this.simulation.after(MESSAGE_MS, () -> onDelivered(piece, outcome));
 	}
 
-	private void take(PieceId piece, PieceOutcome outcome) {
-		boolean wanted = this.waiting.remove(piece);
-		if (!wanted) {
+	private void onDelivered(PieceId piece, PieceOutcome outcome) {
+		boolean expected = this.pending.remove(piece);
+		if (!expected) {
 			if (outcome.status() == PieceOutcome.Status.MADE) {
 				release(piece.stage(), List.of(outcome.handle()));
 			}
@@ -103,34 +105,34 @@
 			return;
 		}
 		this.plan.onCompleted(piece.stage(), piece.piece(), outcome.handle());
-		releaseSpent();
+		releaseReadResults();
 		startStages();
 	}
 
 	@Override
 	public void onInputsRead(PieceId piece) {
-		if (this.model.inputsGivenBackEarly()) {
-			this.model.after(MESSAGE_MS, () -> {
-				if (this.waiting.contains(piece)) {
+		if (this.simulation.releasesInputsEarly()) {
+			this.simulation.after(MESSAGE_MS, () -> {
+				if (this.pending.contains(piece)) {
 					this.plan.onInputsRead(piece.stage(), piece.piece());
-					releaseSpent();
+					releaseReadResults();
 				}
 			});
 		}
 	}
 
-	private void releaseSpent() {
+	private void releaseReadResults() {
 		this.plan.takeReleasable().forEach((stage) -> release(stage, this.plan.results(stage)));
 	}
 
 	private void release(int stage, List<String> handles) {
-		this.model.pool(this.kind.stages().get(stage).service()).release(handles);
+		this.simulation.pool(this.kind.stages().get(stage).service()).release(handles);
 	}
 
 	private void answer() {
 		if (!this.ended) {
-			boolean onTime = this.model.nowMs() <= this.arrivedMs + this.kind.objectiveMs();
-			this.model.result(this.kind.name()).onAnswered(onTime);
+			boolean onTime = this.simulation.nowMs() <= this.arrivedMs + this.kind.objectiveMs();
+			this.simulation.result(this.kind.name()).onAnswered(onTime);
 			end();
 		}
 	}
@@ -140,10 +142,10 @@
 			return;
 		}
 		this.ended = true;
-		for (PieceId piece : this.waiting) {
-			this.model.pool(this.kind.stages().get(piece.stage()).service()).dispatcher().withdraw(piece);
+		for (PieceId piece : this.pending) {
+			this.simulation.pool(this.kind.stages().get(piece.stage()).service()).dispatcher().withdraw(piece);
 		}
-		this.waiting.clear();
+		this.pending.clear();
 		this.plan.takeUnreleased().forEach((stage) -> release(stage, this.plan.results(stage)));
 	}
 
