--- a/core/src/main/java/org/tallycart/core/routing/Balancer.java
+++ b/core/src/main/java/org/tallycart/core/routing/Balancer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Chooses one of several upstreams.
+ * Load balancing policy: chooses one of several upstreams.
  * <p>
  * Implementations are thread-safe.
  *
@@ -13,9 +13,9 @@
 
 	/**
 	 * Choose an upstream.
-	 * @param candidates the upstreams that may be chosen, at least one
+	 * @param candidates the eligible upstreams, at least one
 	 * @param random the source of random choices
-	 * @return the chosen one
+	 * @return the chosen upstream
 	 */
 	Candidate choose(List<Candidate> candidates, RandomSource random);
 
--- a/core/src/main/java/org/tallycart/core/routing/DeadlineSplit.java
+++ b/core/src/main/java/org/tallycart/core/routing/DeadlineSplit.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Divides the time left to a deadline among the stages still to come.
+ * Divides the remaining time to a deadline over the remaining stages.
  * <p>
- * Thread-safe: holds no state.
+ * Thread-safe: stateless.
  *
  * @since 0.1
  */
@@ -15,10 +15,11 @@
 	}
 
 	/**
-	 * Return how long the next stage may take.
-	 * @param remainingMs time left to the deadline
-	 * @param expectedMs expected time of each stage still to come, the next one first
-	 * @return milliseconds: the next stage's share of the time left
+	 * Return the time budget of the next stage, in proportion to the expected durations.
+	 * @param remainingMs remaining time to the deadline, in milliseconds
+	 * @param expectedMs expected duration of each remaining stage, in milliseconds, the
+	 * next stage first; not empty
+	 * @return the budget, in milliseconds
 	 */
 	public static long budgetMs(long remainingMs, List<Long> expectedMs) {
 		long total = expectedMs.stream().mapToLong((millis) -> Math.max(millis, 1)).sum();
@@ -27,10 +28,10 @@
 	}
 
 	/**
-	 * Return whether the stages can be expected to end in time.
-	 * @param remainingMs time left to the deadline
-	 * @param expectedMs expected time of each stage still to come
-	 * @return true if their sum fits
+	 * Return whether the remaining stages are expected to complete before the deadline.
+	 * @param remainingMs remaining time to the deadline, in milliseconds
+	 * @param expectedMs expected duration of each remaining stage, in milliseconds
+	 * @return true if the sum of the durations does not exceed the remaining time
 	 */
 	public static boolean fits(long remainingMs, List<Long> expectedMs) {
 		return expectedMs.stream().mapToLong(Long::longValue).sum() <= remainingMs;
--- a/core/src/main/java/org/tallycart/core/routing/LatencyWindow.java
+++ b/core/src/main/java/org/tallycart/core/routing/LatencyWindow.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * The latest latencies of something, and their quantiles.
+ * Sliding window of the latest latency samples, and their quantiles.
  * <p>
  * Thread-safe.
  *
@@ -21,7 +21,7 @@
 
 	/**
 	 * Create a window.
-	 * @param size how many samples it keeps
+	 * @param size the number of samples to keep
 	 * @return the window
 	 */
 	public static LatencyWindow ofSize(int size) {
@@ -30,26 +30,26 @@
 
 	/**
 	 * Add a sample.
-	 * @param millis the latency
+	 * @param latency the latency, in the caller's unit
 	 */
-	public synchronized void add(long millis) {
-		this.samples[this.count % this.samples.length] = millis;
+	public synchronized void add(long latency) {
+		this.samples[this.count % this.samples.length] = latency;
 		this.count++;
 	}
 
 	/**
-	 * Return the number of samples kept.
-	 * @return the number
+	 * Return the number of samples in the window.
+	 * @return the number of samples
 	 */
 	public synchronized int size() {
 		return Math.min(this.count, this.samples.length);
 	}
 
 	/**
-	 * Return a quantile.
-	 * @param quantile from 0 to 1
-	 * @param fallback what to return while there is no sample
-	 * @return the quantile
+	 * Return a quantile of the samples.
+	 * @param quantile the quantile, from 0 to 1
+	 * @param fallback the value to return without samples
+	 * @return the value of the quantile
 	 */
 	public synchronized long quantile(double quantile, long fallback) {
 		int size = size();
--- a/core/src/main/java/org/tallycart/core/routing/LeastInFlightBalancer.java
+++ b/core/src/main/java/org/tallycart/core/routing/LeastInFlightBalancer.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Baseline: the upstream with the least calls in flight from this VM, by its slots; ties
- * are broken at random.
+ * Least-connections balancer, weighted by slots: chooses the upstream with the fewest
+ * calls in flight from this VM for each slot; ties are broken at random.
  * <p>
- * Thread-safe: holds no state.
+ * Thread-safe: stateless.
  *
  * @since 0.1
  */
@@ -14,18 +14,18 @@
 
 	@Override
 	public Candidate choose(List<Candidate> candidates, RandomSource random) {
-		int start = random.below(candidates.size());
+		int start = random.nextInt(candidates.size());
 		Candidate best = candidates.get(start);
 		for (int i = 1; i < candidates.size(); i++) {
 			Candidate next = candidates.get((start + i) % candidates.size());
-			if (share(next) < share(best)) {
+			if (utilization(next) < utilization(best)) {
 				best = next;
 			}
 		}
 		return best;
 	}
 
-	private static double share(Candidate candidate) {
+	private static double utilization(Candidate candidate) {
 		return (double) candidate.inFlight() / candidate.upstream().slots();
 	}
 
--- a/core/src/main/java/org/tallycart/core/routing/LeastLoadBalancer.java
+++ b/core/src/main/java/org/tallycart/core/routing/LeastLoadBalancer.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Takes the upstream with the lowest score of all; ties are broken at random. Meant for
- * the small subset of a service's upstreams that one VM uses.
+ * Chooses the upstream with the lowest load score of all; ties are broken at random.
+ * Intended for the small subset of a service's upstreams that one VM uses.
  * <p>
- * Thread-safe: holds no state.
+ * Thread-safe: immutable.
  *
  * @since 0.1
  * @see LoadScore
@@ -20,8 +20,8 @@
 	}
 
 	/**
-	 * Create a balancer that discounts reports by their age.
-	 * @param halfLifeMs age at which a report counts half, in milliseconds
+	 * Create a balancer that discounts load reports by their age.
+	 * @param halfLifeMs half-life of a report's weight, in milliseconds
 	 * @return the balancer
 	 */
 	public static LeastLoadBalancer withAgeDiscount(double halfLifeMs) {
@@ -30,12 +30,12 @@
 
 	@Override
 	public Candidate choose(List<Candidate> candidates, RandomSource random) {
-		int start = random.below(candidates.size());
+		int start = random.nextInt(candidates.size());
 		Candidate best = candidates.get(start);
-		double lowest = this.score.of(best);
+		double lowest = this.score.compute(best);
 		for (int i = 1; i < candidates.size(); i++) {
 			Candidate next = candidates.get((start + i) % candidates.size());
-			double score = this.score.of(next);
+			double score = this.score.compute(next);
 			if (score < lowest) {
 				best = next;
 				lowest = score;
--- a/core/src/main/java/org/tallycart/core/routing/LoadScore.java
+++ b/core/src/main/java/org/tallycart/core/routing/LoadScore.java
@@ -1,9 +1,9 @@
 package org.tallycart.core.routing;
 
 /**
- * Estimates the calls at an upstream for each of its slots: this VM's own calls in
- * flight, plus what others had there by the last report, plus the policy's addition. With
- * age discount, an old report loses weight against this VM's own count.
+ * Estimates the calls for each slot of an upstream: this VM's calls in flight, the calls
+ * of other VMs by the latest report, and the operator policy's addition. The reported
+ * part decays exponentially with the age of the report.
  * <p>
  * Immutable and thread-safe.
  *
@@ -11,7 +11,8 @@
  */
 final class LoadScore {
 
-	private static final double OTHER_DOMAIN_COST = 0.05;
+	/** Penalty for an upstream in another failure domain, in calls for each slot. */
+	private static final double CROSS_DOMAIN_PENALTY = 0.05;
 
 	private final double halfLifeMs;
 
@@ -20,22 +21,22 @@
 	}
 
 	/**
-	 * Score an upstream.
+	 * Compute the score of an upstream.
 	 * @param candidate the upstream
-	 * @return the score; the lower, the better
+	 * @return the score; a lower one is better
 	 */
-	double of(Candidate candidate) {
-		double load = candidate.inFlight() + othersLoad(candidate) + candidate.policyScore();
-		double domain = candidate.sameDomain() ? 0 : OTHER_DOMAIN_COST;
-		return (load + 1) / candidate.upstream().slots() + domain;
+	double compute(Candidate candidate) {
+		double calls = candidate.inFlight() + otherVmsCalls(candidate) + candidate.policyScore();
+		double penalty = candidate.sameDomain() ? 0 : CROSS_DOMAIN_PENALTY;
+		return (calls + 1) / candidate.upstream().slots() + penalty;
 	}
 
-	private double othersLoad(Candidate candidate) {
+	private double otherVmsCalls(Candidate candidate) {
 		if (candidate.reportAgeMs() < 0) {
 			return 0;
 		}
-		int others = Math.max(candidate.reportedCalls() - candidate.inFlightAtReport(), 0);
-		return others * Math.pow(0.5, candidate.reportAgeMs() / this.halfLifeMs);
+		int reportedByOthers = Math.max(candidate.reportedCalls() - candidate.inFlightAtReport(), 0);
+		return reportedByOthers * Math.pow(0.5, candidate.reportAgeMs() / this.halfLifeMs);
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/routing/RandomSource.java
+++ b/core/src/main/java/org/tallycart/core/routing/RandomSource.java
@@ -1,7 +1,8 @@
 package org.tallycart.core.routing;
 
 /**
- * Source of random numbers, handed in so that runs can be repeated.
+ * Source of random numbers. It is passed in so that tests and simulations are
+ * reproducible.
  * <p>
  * Implementations are thread-safe.
  *
@@ -11,10 +12,10 @@
 public interface RandomSource {
 
 	/**
-	 * Return a random number.
-	 * @param bound the bound, at least 1
+	 * Return a uniformly distributed random number.
+	 * @param bound the exclusive upper bound, at least 1
 	 * @return a number from 0 to {@code bound - 1}
 	 */
-	int below(int bound);
+	int nextInt(int bound);
 
 }
--- a/core/src/main/java/org/tallycart/core/routing/RetryBudget.java
+++ b/core/src/main/java/org/tallycart/core/routing/RetryBudget.java
@@ -1,10 +1,10 @@
 package org.tallycart.core.routing;
 
 /**
- * Limits extra attempts to a share of first attempts.
+ * Token bucket that limits extra attempts to a share of first attempts.
  * <p>
- * Invariant: extra attempts granted never exceed {@code share} of the first attempts plus
- * the initial allowance. Thread-safe.
+ * Invariant: the granted extra attempts never exceed {@code share} of the first attempts
+ * plus the initial allowance. Thread-safe.
  *
  * @since 0.1
  */
@@ -24,9 +24,9 @@
 
 	/**
 	 * Create a budget.
-	 * @param share extra attempts for each first attempt, such as 0.1
-	 * @param initial extra attempts allowed at the start
-	 * @param cap extra attempts that can be saved up, at most
+	 * @param share extra attempts granted for each first attempt, such as 0.1
+	 * @param initial extra attempts available at the start
+	 * @param cap maximum number of extra attempts that accumulate
 	 * @return the budget
 	 */
 	public static RetryBudget create(double share, double initial, double cap) {
@@ -34,15 +34,15 @@
 	}
 
 	/**
-	 * Record a first attempt.
+	 * Record a first attempt, which adds {@code share} to the budget.
 	 */
 	public synchronized void onFirstAttempt() {
 		this.tokens = Math.min(this.tokens + this.share, this.cap);
 	}
 
 	/**
-	 * Ask for an extra attempt.
-	 * @return whether it is granted
+	 * Try to acquire an extra attempt.
+	 * @return true if the budget allows it
 	 */
 	public synchronized boolean tryAcquire() {
 		if (this.tokens < 1) {
--- a/core/src/main/java/org/tallycart/core/routing/RoundRobinBalancer.java
+++ b/core/src/main/java/org/tallycart/core/routing/RoundRobinBalancer.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Baseline: one upstream after the other.
+ * Round-robin balancer: chooses the candidates in turn.
  * <p>
  * Thread-safe.
  *
--- a/core/src/main/java/org/tallycart/core/routing/StageQueue.java
+++ b/core/src/main/java/org/tallycart/core/routing/StageQueue.java
@@ -9,18 +9,17 @@
 import org.tallycart.core.outcome.InvariantViolation;
 
 /**
- * Bounded queue of the work that waits for one stage on one VM.
+ * Bounded queue of the calls to one stage that wait on one VM.
  * <p>
- * Order: higher priority first; within a priority fair between workspaces by weight
- * (start-time fair queueing); within a workspace by deadline. Work whose deadline can no
- * longer be met is dropped when it reaches the front, never run. When the queue is full,
- * the work that would run last gives way, so that a flooding workspace displaces its own
- * work.
+ * Items are ordered by priority, the higher first; within a priority by weighted fair
+ * sharing between workspaces (start-time fair queueing); and within a workspace by
+ * deadline. The queue does not expire items. When it is full, the item that would run
+ * last is displaced, so that a flooding workspace displaces its own work.
  * <p>
- * Invariant: calls in flight never exceed the limit that held when each was let go. Not
- * thread-safe: guarded by its user's lock.
+ * Invariant: the calls in flight never exceed the limit that applied when each was
+ * dispatched. Not thread-safe: guarded by the caller's lock.
  *
- * @param <T> what the user attaches to an item
+ * @param <T> the type of the payload of an item
  * @since 0.1
  */
 public final class StageQueue<T> {
@@ -46,9 +45,9 @@
 
 	/**
 	 * Create a queue.
-	 * @param capacity how many items may wait
-	 * @param limit how many calls may be in flight
-	 * @param <T> what the user attaches to an item
+	 * @param capacity maximum number of waiting items
+	 * @param limit maximum number of calls in flight
+	 * @param <T> the type of the payload of an item
 	 * @return the queue
 	 */
 	public static <T> StageQueue<T> create(int capacity, int limit) {
@@ -56,85 +55,86 @@
 	}
 
 	/**
-	 * Change how many calls may be in flight.
-	 * @param newLimit the limit, at least 1
+	 * Set the maximum number of calls in flight.
+	 * @param newLimit the limit; values below 1 count as 1
 	 */
 	public void setLimit(int newLimit) {
 		this.limit = Math.max(newLimit, 1);
 	}
 
 	/**
-	 * Put work into the queue.
-	 * @param work what to queue
-	 * @return the item that had to give way, which may be the offered one; empty if none
-	 * had
+	 * Add work to the queue.
+	 * @param work the work
+	 * @return the displaced item, which may be the offered one; empty if the queue was
+	 * not full
 	 */
 	public Optional<Item<T>> offer(Work<T> work) {
-		double start = Math.max(this.virtualTime, this.finishTags.getOrDefault(work.workspace(), 0.0));
-		double finish = start + work.cost() / work.weight();
-		this.finishTags.put(work.workspace(), finish);
-		this.waiting.add(new Item<>(work, start, this.sequence++));
+		double startTag = Math.max(this.virtualTime, this.finishTags.getOrDefault(work.workspace(), 0.0));
+		double finishTag = startTag + work.cost() / work.weight();
+		this.finishTags.put(work.workspace(), finishTag);
+		this.waiting.add(new Item<>(work, startTag, this.sequence++));
 		if (this.waiting.size() <= this.capacity) {
 			return Optional.empty();
 		}
-		Item<T> last = this.waiting.stream().max(StageQueue::order).orElseThrow();
+		Item<T> last = this.waiting.stream().max(StageQueue::compare).orElseThrow();
 		this.waiting.remove(last);
 		return Optional.of(last);
 	}
 
 	/**
-	 * Let the next item go, if the limit allows.
-	 * @return the item, which the user must end with {@link #release()}; or empty
+	 * Dispatch the next item, if the limit allows.
+	 * @return the item, whose call must be ended with {@link #release()}; empty if there
+	 * is none or the limit is reached
 	 */
 	public Optional<Item<T>> poll() {
 		if (this.inFlight >= this.limit || this.waiting.isEmpty()) {
 			return Optional.empty();
 		}
-		Item<T> next = this.waiting.stream().min(StageQueue::order).orElseThrow();
+		Item<T> next = this.waiting.stream().min(StageQueue::compare).orElseThrow();
 		this.waiting.remove(next);
-		this.virtualTime = Math.max(this.virtualTime, next.start);
+		this.virtualTime = Math.max(this.virtualTime, next.startTag);
 		this.inFlight++;
 		if (this.waiting.isEmpty()) {
-			this.finishTags.values().removeIf((tag) -> tag <= this.virtualTime);
+			this.finishTags.values().removeIf((finishTag) -> finishTag <= this.virtualTime);
 		}
 		return Optional.of(next);
 	}
 
 	/**
-	 * Take out one item, whose owner gave up waiting.
-	 * @param payload what was attached to it
-	 * @return whether it was waiting still
+	 * Remove an item whose caller stopped waiting.
+	 * @param payload the payload of the item, compared by identity
+	 * @return true if the item was still waiting
 	 */
 	public boolean cancel(T payload) {
 		return this.waiting.removeIf((item) -> item.work.payload() == payload);
 	}
 
 	/**
-	 * Record that a call which was let go has ended.
+	 * Record the end of a dispatched call.
 	 */
 	public void release() {
-		InvariantViolation.check(this.inFlight > 0, "a call ended that was not in flight");
+		InvariantViolation.check(this.inFlight > 0, "release() without a call in flight");
 		this.inFlight--;
 	}
 
 	/**
-	 * Return how many items wait.
-	 * @return the number
+	 * Return the number of waiting items.
+	 * @return the number of items
 	 */
 	public int waitingCount() {
 		return this.waiting.size();
 	}
 
 	/**
-	 * Return how many calls are in flight.
-	 * @return the number
+	 * Return the number of calls in flight.
+	 * @return the number of calls
 	 */
 	public int inFlightCount() {
 		return this.inFlight;
 	}
 
 	/**
-	 * Return how many calls may be in flight.
+	 * Return the maximum number of calls in flight.
 	 * @return the limit
 	 */
 	public int currentLimit() {
@@ -142,43 +142,43 @@
 	}
 
 	/**
-	 * Return how many waiting items would go before a new one. Items of a workspace that
-	 * waits with more than its share go after it.
+	 * Return the number of waiting items that would be dispatched before a new one. Items
+	 * that exceed the fair share of their workspace are not counted.
 	 * @param workspace the new item's workspace
-	 * @param priority its priority
-	 * @return the number
+	 * @param priority the new item's priority
+	 * @return the number of items
 	 */
 	public int countAhead(String workspace, long priority) {
-		double start = Math.max(this.virtualTime, this.finishTags.getOrDefault(workspace, 0.0));
+		double startTag = Math.max(this.virtualTime, this.finishTags.getOrDefault(workspace, 0.0));
 		return (int) this.waiting.stream().filter((item) -> {
-			long other = item.work.priority();
-			return other > priority || (other == priority && item.start <= start);
+			long waitingPriority = item.work.priority();
+			return waitingPriority > priority || (waitingPriority == priority && item.startTag <= startTag);
 		}).count();
 	}
 
-	private static int order(Item<?> one, Item<?> two) {
-		int byPriority = Long.compare(two.work.priority(), one.work.priority());
+	private static int compare(Item<?> left, Item<?> right) {
+		int byPriority = Long.compare(right.work.priority(), left.work.priority());
 		if (byPriority != 0) {
 			return byPriority;
 		}
-		if (one.work.workspace().equals(two.work.workspace())) {
-			int byDeadline = Long.compare(one.work.deadlineMs(), two.work.deadlineMs());
-			return (byDeadline != 0) ? byDeadline : Long.compare(one.sequence, two.sequence);
+		if (left.work.workspace().equals(right.work.workspace())) {
+			int byDeadline = Long.compare(left.work.deadlineMs(), right.work.deadlineMs());
+			return (byDeadline != 0) ? byDeadline : Long.compare(left.sequence, right.sequence);
 		}
-		int byStart = Double.compare(one.start, two.start);
-		return (byStart != 0) ? byStart : Long.compare(one.sequence, two.sequence);
+		int byStartTag = Double.compare(left.startTag, right.startTag);
+		return (byStartTag != 0) ? byStartTag : Long.compare(left.sequence, right.sequence);
 	}
 
 	/**
-	 * Work to queue.
+	 * Work to be queued.
 	 *
-	 * @param payload what the user attaches
-	 * @param workspace whose work it is
-	 * @param weight the workspace's weight
-	 * @param priority a higher one goes first
-	 * @param deadlineMs when the whole request is due
-	 * @param cost expected cost of the call
-	 * @param <T> what the user attaches
+	 * @param payload the caller's data
+	 * @param workspace the workspace that the work belongs to
+	 * @param weight the workspace's weight in fair sharing
+	 * @param priority the priority; a higher one is dispatched first
+	 * @param deadlineMs deadline of the request, in milliseconds
+	 * @param cost expected cost of the call, in the same unit for all work
+	 * @param <T> the type of the payload
 	 */
 	public record Work<T>(T payload, String workspace, double weight, long priority, long deadlineMs, double cost) {
 	}
@@ -186,24 +186,24 @@
 	/**
 	 * Work in the queue.
 	 *
-	 * @param <T> what the user attaches
+	 * @param <T> the type of the payload
 	 */
 	public static final class Item<T> {
 
 		private final Work<T> work;
 
-		private final double start;
+		private final double startTag;
 
 		private final long sequence;
 
-		private Item(Work<T> work, double start, long sequence) {
+		private Item(Work<T> work, double startTag, long sequence) {
 			this.work = work;
-			this.start = start;
+			this.startTag = startTag;
 			this.sequence = sequence;
 		}
 
 		/**
-		 * Return what the user attached.
+		 * Return the caller's data.
 		 * @return the payload
 		 */
 		public T payload() {
--- a/core/src/main/java/org/tallycart/core/routing/TwoChoicesBalancer.java
+++ b/core/src/main/java/org/tallycart/core/routing/TwoChoicesBalancer.java
@@ -3,12 +3,10 @@
 import java.util.List;
 
 /**
- * Picks two upstreams at random and takes the one with the lower score.
+ * Power-of-two-choices balancer: draws two upstreams at random and chooses the one with
+ * the lower load score.
  * <p>
- * The score estimates the calls at the upstream for each of its slots: its report,
- * corrected by the change of this VM's own calls in flight since then, plus the policy's
- * addition. With age discount, an old report loses weight against this VM's own count.
- * Thread-safe: holds no state.
+ * Thread-safe: immutable.
  *
  * @since 0.1
  * @see LoadScore
@@ -22,8 +20,8 @@
 	}
 
 	/**
-	 * Create a balancer that discounts reports by their age.
-	 * @param halfLifeMs age at which a report counts half, in milliseconds
+	 * Create a balancer that discounts load reports by their age.
+	 * @param halfLifeMs half-life of a report's weight, in milliseconds
 	 * @return the balancer
 	 */
 	public static TwoChoicesBalancer withAgeDiscount(double halfLifeMs) {
@@ -31,7 +29,7 @@
 	}
 
 	/**
-	 * Create the baseline that takes every report as fresh.
+	 * Create a balancer that weights load reports independently of their age.
 	 * @return the balancer
 	 */
 	public static TwoChoicesBalancer withoutAgeDiscount() {
@@ -41,14 +39,14 @@
 	@Override
 	public Candidate choose(List<Candidate> candidates, RandomSource random) {
 		int size = candidates.size();
-		int first = random.below(size);
+		int first = random.nextInt(size);
 		if (size == 1) {
 			return candidates.get(first);
 		}
-		int second = (first + 1 + random.below(size - 1)) % size;
+		int second = (first + 1 + random.nextInt(size - 1)) % size;
 		Candidate one = candidates.get(first);
 		Candidate two = candidates.get(second);
-		return (this.score.of(one) <= this.score.of(two)) ? one : two;
+		return (this.score.compute(one) <= this.score.compute(two)) ? one : two;
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/routing/UpstreamHealth.java
+++ b/core/src/main/java/org/tallycart/core/routing/UpstreamHealth.java
@@ -3,23 +3,25 @@
 import org.tallycart.core.declaration.Upstream;
 
 /**
- * What one VM knows of one upstream.
+ * State of one upstream as known to one VM: load, latency and ejection.
  * <p>
- * Invariant: an incarnation that has said it is leaving is never used again. Not
- * thread-safe: guarded by {@link UpstreamTable}.
+ * An upstream is ejected after consecutive failures or for high latency, and is on
+ * probation afterwards until its latency is in line with its peers. Not thread-safe:
+ * guarded by {@link UpstreamTable}.
  *
  * @since 0.1
  */
 final class UpstreamHealth {
 
+	/** Number of consecutive failures that eject an upstream. */
 	private static final int FAILURES_TO_EJECT = 3;
 
-	/** Samples that peers are compared by. */
-	static final int SAMPLES_TO_COMPARE = 5;
+	/** Minimum number of latency samples for a comparison with peers. */
+	static final int MIN_SAMPLES = 5;
 
-	private static final long FIRST_EJECTION_MS = 1_000;
+	private static final long INITIAL_EJECTION_MS = 1_000;
 
-	private static final long LONGEST_EJECTION_MS = 30_000;
+	private static final long MAX_EJECTION_MS = 30_000;
 
 	private static final double EWMA_WEIGHT = 0.2;
 
@@ -31,13 +33,13 @@
 
 	private int inFlightAtReport;
 
-	private long reportedAtMs = -1;
+	private long reportMs = -1;
 
-	private int failuresInRow;
+	private int consecutiveFailures;
 
 	private long ejectedUntilMs;
 
-	private long ejectionMs = FIRST_EJECTION_MS;
+	private long ejectionMs = INITIAL_EJECTION_MS;
 
 	private double latencyMs;
 
@@ -62,18 +64,19 @@
 	}
 
 	void onSuccess() {
-		this.failuresInRow = 0;
+		this.consecutiveFailures = 0;
 	}
 
-	void onSample(double cost, long millis) {
-		double normal = millis / Math.max(cost, 1);
-		this.latencyMs = (this.samples == 0) ? normal : this.latencyMs + EWMA_WEIGHT * (normal - this.latencyMs);
+	void onSample(double work, long millis) {
+		double normalizedMs = millis / Math.max(work, 1);
+		this.latencyMs = (this.samples == 0) ? normalizedMs
+				: this.latencyMs + EWMA_WEIGHT * (normalizedMs - this.latencyMs);
 		this.samples++;
 	}
 
 	boolean onFailure(long nowMs) {
-		this.failuresInRow++;
-		if (this.failuresInRow < FAILURES_TO_EJECT) {
+		this.consecutiveFailures++;
+		if (this.consecutiveFailures < FAILURES_TO_EJECT) {
 			return false;
 		}
 		eject(nowMs);
@@ -82,41 +85,40 @@
 
 	void eject(long nowMs) {
 		this.ejectedUntilMs = nowMs + this.ejectionMs;
-		this.ejectionMs = Math.min(this.ejectionMs * 2, LONGEST_EJECTION_MS);
+		this.ejectionMs = Math.min(this.ejectionMs * 2, MAX_EJECTION_MS);
 		this.samples = 0;
 		this.probation = true;
-		// One more failure after the ejection ends ejects again; a success clears the
-		// count.
-		this.failuresInRow = FAILURES_TO_EJECT - 1;
+		// One more failure after the ejection ejects again; a success resets the count.
+		this.consecutiveFailures = FAILURES_TO_EJECT - 1;
 	}
 
-	void onProven() {
+	void endProbation() {
 		this.probation = false;
-		this.ejectionMs = FIRST_EJECTION_MS;
+		this.ejectionMs = INITIAL_EJECTION_MS;
 	}
 
 	void onReport(int calls, long nowMs) {
 		this.reportedCalls = calls;
 		this.inFlightAtReport = this.inFlight;
-		this.reportedAtMs = nowMs;
+		this.reportMs = nowMs;
 	}
 
-	boolean ejected(long nowMs) {
+	boolean isEjected(long nowMs) {
 		return nowMs < this.ejectedUntilMs;
 	}
 
 	/**
-	 * Return whether a new call may go there now: while it has to prove itself after an
-	 * ejection, one at a time.
-	 * @param nowMs the monotonic clock now
-	 * @return true if it may
+	 * Return whether a new call may be sent now: none during an ejection, one at a time
+	 * on probation.
+	 * @param nowMs current time on the monotonic clock, in milliseconds
+	 * @return true if a call may be sent
 	 */
-	boolean usable(long nowMs) {
-		return !ejected(nowMs) && !(this.probation && this.inFlight > 0);
+	boolean isUsable(long nowMs) {
+		return !isEjected(nowMs) && !(this.probation && this.inFlight > 0);
 	}
 
-	int samplesToJudge() {
-		return this.probation ? 1 : SAMPLES_TO_COMPARE;
+	int requiredSamples() {
+		return this.probation ? 1 : MIN_SAMPLES;
 	}
 
 	double latencyMs() {
@@ -131,9 +133,9 @@
 		return this.inFlight;
 	}
 
-	Candidate candidate(long nowMs, String domain) {
-		long age = (this.reportedAtMs < 0) ? -1 : nowMs - this.reportedAtMs;
-		return new Candidate(this.upstream, this.inFlight, this.reportedCalls, this.inFlightAtReport, age,
+	Candidate toCandidate(long nowMs, String domain) {
+		long reportAgeMs = (this.reportMs < 0) ? -1 : nowMs - this.reportMs;
+		return new Candidate(this.upstream, this.inFlight, this.reportedCalls, this.inFlightAtReport, reportAgeMs,
 				this.upstream.domain().equals(domain), 0);
 	}
 
--- a/core/src/main/java/org/tallycart/core/routing/UpstreamTable.java
+++ b/core/src/main/java/org/tallycart/core/routing/UpstreamTable.java
@@ -15,18 +15,23 @@
 import org.tallycart.core.membership.RendezvousHash;
 
 /**
- * What one VM knows of all upstreams: load, health, and which are leaving.
+ * Load, health and draining state of all upstreams, as known to one VM.
  * <p>
- * Invariants: an upstream that is leaving is never a candidate; of a service's upstreams
- * at most half are ejected for being slow, so that ejection cannot empty a pool.
- * Thread-safe.
+ * Invariants: a draining upstream is never a candidate; at most half of a service's
+ * upstreams are ejected for high latency, and ejected ones remain candidates if there are
+ * no others. Thread-safe.
  *
  * @since 0.1
  */
 public final class UpstreamTable {
 
-	private static final double SLOWER_THAN_PEERS = 3;
+	/** An upstream with this multiple of the peers' median latency is ejected. */
+	private static final double SLOW_FACTOR = 3;
 
+	/**
+	 * Ten times the minimum gap to the median latency for an ejection, in milliseconds
+	 * for each unit of work.
+	 */
 	private static final double MIN_GAP_MS = 20;
 
 	private final String vm;
@@ -39,7 +44,7 @@
 
 	private final Map<String, List<String>> services = new HashMap<>();
 
-	private final Set<String> leaving = new HashSet<>();
+	private final Set<String> draining = new HashSet<>();
 
 	private UpstreamTable(String vm, String domain, int subsetSize) {
 		this.vm = vm;
@@ -49,9 +54,9 @@
 
 	/**
 	 * Create an empty table.
-	 * @param vm the VM that uses it
+	 * @param vm the name of the VM
 	 * @param domain the VM's failure domain
-	 * @param subsetSize how many upstreams of a service this VM uses, at most
+	 * @param subsetSize maximum number of upstreams of a service that this VM uses
 	 * @return the table
 	 */
 	public static UpstreamTable create(String vm, String domain, int subsetSize) {
@@ -59,7 +64,7 @@
 	}
 
 	/**
-	 * Adopt the declared services; what is known of upstreams that stay is kept.
+	 * Update the declared services. The state of upstreams that are unchanged is kept.
 	 * @param declared the services
 	 */
 	public synchronized void update(Collection<Service> declared) {
@@ -69,9 +74,9 @@
 			List<Upstream> subset = subset(service);
 			this.services.put(service.id(), subset.stream().map(Upstream::id).toList());
 			for (Upstream upstream : subset) {
-				UpstreamHealth known = this.health.get(upstream.id());
-				boolean same = known != null && known.upstream().equals(upstream);
-				next.put(upstream.id(), (known != null && same) ? known : new UpstreamHealth(upstream));
+				UpstreamHealth state = this.health.get(upstream.id());
+				boolean unchanged = state != null && state.upstream().equals(upstream);
+				next.put(upstream.id(), (state != null && unchanged) ? state : new UpstreamHealth(upstream));
 			}
 		}
 		this.health.clear();
@@ -93,152 +98,151 @@
 	}
 
 	/**
-	 * Mark an upstream as leaving, for good.
-	 * @param upstreamId the upstream
-	 * @return whether this was news
+	 * Mark an upstream as draining. The mark is permanent.
+	 * @param upstreamId the id of the upstream
+	 * @return true if it was not marked before
 	 */
 	public synchronized boolean markLeaving(String upstreamId) {
-		return this.leaving.add(upstreamId);
+		return this.draining.add(upstreamId);
 	}
 
 	/**
-	 * Return the upstreams known to be leaving.
+	 * Return the upstreams that are marked as draining.
 	 * @return their ids
 	 */
-	public synchronized Set<String> leaving() {
-		return Set.copyOf(this.leaving);
+	public synchronized Set<String> drainingUpstreams() {
+		return Set.copyOf(this.draining);
 	}
 
 	/**
-	 * Return the upstreams of a service that may be chosen now.
-	 * @param serviceId the service
-	 * @param tried upstreams that this stage call has tried already
-	 * @param nowMs the monotonic clock now
-	 * @return the candidates, without ejected ones while others are left
+	 * Return the upstreams of a service that are eligible for a call.
+	 * @param serviceId the id of the service
+	 * @param tried ids of the upstreams that the stage call has tried already
+	 * @param nowMs current time on the monotonic clock, in milliseconds
+	 * @return the candidates; ejected upstreams are included only if there are no others
 	 */
 	public synchronized List<Candidate> candidates(String serviceId, Set<String> tried, long nowMs) {
 		List<Candidate> usable = new ArrayList<>();
 		List<Candidate> ejected = new ArrayList<>();
 		for (String id : this.services.getOrDefault(serviceId, List.of())) {
-			UpstreamHealth known = this.health.get(id);
-			if (known == null || tried.contains(id) || this.leaving.contains(id)) {
+			UpstreamHealth state = this.health.get(id);
+			if (state == null || tried.contains(id) || this.draining.contains(id)) {
 				continue;
 			}
-			(known.usable(nowMs) ? usable : ejected).add(known.candidate(nowMs, this.domain));
+			(state.isUsable(nowMs) ? usable : ejected).add(state.toCandidate(nowMs, this.domain));
 		}
 		return usable.isEmpty() ? ejected : usable;
 	}
 
 	/**
-	 * Record that a call begins.
-	 * @param upstreamId the upstream
+	 * Record the start of a call.
+	 * @param upstreamId the id of the upstream
 	 */
 	public synchronized void onStart(String upstreamId) {
-		UpstreamHealth known = this.health.get(upstreamId);
-		if (known != null) {
-			known.onStart();
+		UpstreamHealth state = this.health.get(upstreamId);
+		if (state != null) {
+			state.onStart();
 		}
 	}
 
 	/**
-	 * Record that a call ended well.
-	 * @param serviceId the service
-	 * @param upstreamId the upstream
-	 * @param work what the latency is to be divided by before upstreams are compared,
-	 * such as the number of tokens
-	 * @param millis how long it took
-	 * @param nowMs the monotonic clock now
-	 * @return whether the upstream was ejected for being slower than its peers
+	 * Record a successful call.
+	 * @param serviceId the id of the service
+	 * @param upstreamId the id of the upstream
+	 * @param work amount of work that the latency is divided by for comparison, such as
+	 * the number of tokens; at least 1 is used
+	 * @param millis latency of the call, in milliseconds
+	 * @param nowMs current time on the monotonic clock, in milliseconds
+	 * @return true if the upstream was ejected for high latency
 	 */
 	public synchronized boolean onSuccess(String serviceId, String upstreamId, double work, long millis, long nowMs) {
-		UpstreamHealth known = this.health.get(upstreamId);
-		if (known == null) {
+		UpstreamHealth state = this.health.get(upstreamId);
+		if (state == null) {
 			return false;
 		}
-		known.onEnd();
-		known.onSuccess();
-		known.onSample(work, millis);
-		return ejectIfSlow(serviceId, known, nowMs);
+		state.onEnd();
+		state.onSuccess();
+		state.onSample(work, millis);
+		return ejectIfSlow(serviceId, state, nowMs);
 	}
 
 	/**
-	 * Record that a call was given up because it took too long: its latency is at least
-	 * the time it had.
-	 * @param serviceId the service
-	 * @param upstreamId the upstream
-	 * @param work what the latency is to be divided by before upstreams are compared
-	 * @param millis how long it had
-	 * @param nowMs the monotonic clock now
-	 * @return whether the upstream was ejected for being slower than its peers
+	 * Record a timeout of a call. Its latency is at least the time waited.
+	 * @param serviceId the id of the service
+	 * @param upstreamId the id of the upstream
+	 * @param work amount of work that the latency is divided by for comparison
+	 * @param millis time waited, in milliseconds
+	 * @param nowMs current time on the monotonic clock, in milliseconds
+	 * @return true if the upstream was ejected for high latency
 	 */
 	public synchronized boolean onTimeout(String serviceId, String upstreamId, double work, long millis, long nowMs) {
-		UpstreamHealth known = this.health.get(upstreamId);
-		if (known == null) {
+		UpstreamHealth state = this.health.get(upstreamId);
+		if (state == null) {
 			return false;
 		}
-		known.onEnd();
-		known.onSample(work, millis);
-		return ejectIfSlow(serviceId, known, nowMs);
+		state.onEnd();
+		state.onSample(work, millis);
+		return ejectIfSlow(serviceId, state, nowMs);
 	}
 
-	private boolean ejectIfSlow(String serviceId, UpstreamHealth known, long nowMs) {
-		if (known.samples() < known.samplesToJudge()) {
+	private boolean ejectIfSlow(String serviceId, UpstreamHealth state, long nowMs) {
+		if (state.samples() < state.requiredSamples()) {
 			return false;
 		}
 		List<UpstreamHealth> peers = this.services.getOrDefault(serviceId, List.of())
 			.stream()
 			.map(this.health::get)
-			.filter((peer) -> peer != null && peer != known)
+			.filter((peer) -> peer != null && peer != state)
 			.toList();
 		List<Double> latencies = peers.stream()
-			.filter((peer) -> peer.samples() >= UpstreamHealth.SAMPLES_TO_COMPARE)
+			.filter((peer) -> peer.samples() >= UpstreamHealth.MIN_SAMPLES)
 			.map(UpstreamHealth::latencyMs)
 			.sorted()
 			.toList();
-		long ejected = peers.stream().filter((peer) -> peer.ejected(nowMs)).count();
+		long ejected = peers.stream().filter((peer) -> peer.isEjected(nowMs)).count();
 		if (latencies.isEmpty() || ejected + 1 > (peers.size() + 1) / 2) {
 			return false;
 		}
 		double median = latencies.get(latencies.size() / 2);
-		if (known.latencyMs() > median * SLOWER_THAN_PEERS && known.latencyMs() - median > MIN_GAP_MS / 10) {
-			known.eject(nowMs);
+		if (state.latencyMs() > median * SLOW_FACTOR && state.latencyMs() - median > MIN_GAP_MS / 10) {
+			state.eject(nowMs);
 			return true;
 		}
-		known.onProven();
+		state.endProbation();
 		return false;
 	}
 
 	/**
-	 * Record that a call failed or was given up.
-	 * @param upstreamId the upstream
-	 * @param blame whether the upstream is to blame
-	 * @param nowMs the monotonic clock now
-	 * @return whether the upstream was ejected
+	 * Record a failed or cancelled call.
+	 * @param upstreamId the id of the upstream
+	 * @param blame whether the failure counts against the upstream
+	 * @param nowMs current time on the monotonic clock, in milliseconds
+	 * @return true if the upstream was ejected
 	 */
 	public synchronized boolean onFailure(String upstreamId, boolean blame, long nowMs) {
-		UpstreamHealth known = this.health.get(upstreamId);
-		if (known == null) {
+		UpstreamHealth state = this.health.get(upstreamId);
+		if (state == null) {
 			return false;
 		}
-		known.onEnd();
-		return blame && known.onFailure(nowMs);
+		state.onEnd();
+		return blame && state.onFailure(nowMs);
 	}
 
 	/**
-	 * Record an upstream's report of its load.
-	 * @param upstreamId the upstream
-	 * @param calls calls running and waiting there
-	 * @param nowMs the monotonic clock when the report was made, as well as is known
+	 * Record an upstream's load report.
+	 * @param upstreamId the id of the upstream
+	 * @param calls number of calls running and waiting at the upstream
+	 * @param nowMs estimated time of the report on the monotonic clock, in milliseconds
 	 */
 	public synchronized void onReport(String upstreamId, int calls, long nowMs) {
-		UpstreamHealth known = this.health.get(upstreamId);
-		if (known != null) {
-			known.onReport(calls, nowMs);
+		UpstreamHealth state = this.health.get(upstreamId);
+		if (state != null) {
+			state.onReport(calls, nowMs);
 		}
 	}
 
 	/**
-	 * Return the upstreams this VM uses.
+	 * Return the upstreams of all services that this VM uses.
 	 * @return the upstreams
 	 */
 	public synchronized List<Upstream> upstreams() {
@@ -246,17 +250,17 @@
 	}
 
 	/**
-	 * Return the slots of a service's usable upstreams.
-	 * @param serviceId the service
+	 * Return the total number of slots of a service's upstreams that are not draining.
+	 * @param serviceId the id of the service
 	 * @return the sum
 	 */
 	public synchronized int totalSlots(String serviceId) {
 		return this.services.getOrDefault(serviceId, List.of())
 			.stream()
-			.filter((id) -> !this.leaving.contains(id))
+			.filter((id) -> !this.draining.contains(id))
 			.map(this.health::get)
-			.filter((known) -> known != null)
-			.mapToInt((known) -> known.upstream().slots())
+			.filter((state) -> state != null)
+			.mapToInt((state) -> state.upstream().slots())
 			.sum();
 	}
 
--- a/core/src/main/java/org/tallycart/core/routing/package-info.java
+++ b/core/src/main/java/org/tallycart/core/routing/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Choice of an upstream, retry budget, deadline split and stage queues.
+ * Load balancing over upstreams, retry budgets, division of deadlines over stages, and
+ * stage queues.
  */
 @NullMarked
 package org.tallycart.core.routing;
--- a/core/src/test/java/org/tallycart/core/routing/RoutingTests.java
+++ b/core/src/test/java/org/tallycart/core/routing/RoutingTests.java
@@ -19,7 +19,7 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for the routing decisions.
+ * Tests for load balancing, retry budgets, deadline division and stage queues.
  */
 public class RoutingTests {
 
@@ -38,17 +38,20 @@
 	}
 
 	@Test
-	void aLeavingUpstreamIsNeverACandidateAgain() {
+	void aDrainingUpstreamIsNeverACandidateAgain() {
 		UpstreamTable table = table(3);
 		assertTrue(table.markLeaving("u1"));
 		assertFalse(table.markLeaving("u1"));
 		table.update(List.of(service(3)));
-		List<String> left = table.candidates("encode", Set.of(), 0).stream().map((one) -> one.upstream().id()).toList();
-		assertEquals(left, List.of("u0", "u2"));
+		List<String> remaining = table.candidates("encode", Set.of(), 0)
+			.stream()
+			.map((candidate) -> candidate.upstream().id())
+			.toList();
+		assertEquals(remaining, List.of("u0", "u2"));
 	}
 
 	@Test
-	void anUpstreamMuchSlowerThanItsPeersIsEjectedAndComesBack() {
+	void anUpstreamMuchSlowerThanItsPeersIsEjectedForATime() {
 		UpstreamTable table = table(4);
 		for (int i = 0; i < 10; i++) {
 			for (int worker = 0; worker < 4; worker++) {
@@ -61,7 +64,7 @@
 	}
 
 	@Test
-	void anEjectedUpstreamProvesItselfByOneCallAtATime() {
+	void anUpstreamOnProbationGetsOneCallAtATime() {
 		UpstreamTable table = table(4);
 		for (int i = 0; i < 10; i++) {
 			for (int worker = 0; worker < 4; worker++) {
@@ -81,7 +84,7 @@
 	}
 
 	@Test
-	void anUpstreamWhoseCallsNeverEndInTimeIsEjectedToo() {
+	void anUpstreamWhoseCallsTimeOutIsEjected() {
 		UpstreamTable table = table(4);
 		for (int i = 0; i < 6; i++) {
 			for (int worker = 0; worker < 4; worker++) {
@@ -98,7 +101,7 @@
 	}
 
 	@Test
-	void ejectionNeverEmptiesAPool() {
+	void ejectionLeavesCandidatesIfAllUpstreamsFail() {
 		UpstreamTable table = table(2);
 		for (int i = 0; i < 5; i++) {
 			table.onFailure("u0", true, 0);
@@ -118,17 +121,17 @@
 	}
 
 	@Test
-	void anOldReportLosesWeightAgainstOwnCalls() {
+	void anOldReportWeighsLessThanAFreshOne() {
 		Upstream upstream = service(1).upstreams().get(0);
 		LoadScore score = new LoadScore(1_000);
-		double fresh = score.of(new Candidate(upstream, 1, 8, 0, 0, true, 0));
-		double old = score.of(new Candidate(upstream, 1, 8, 0, 5_000, true, 0));
-		double idle = score.of(new Candidate(upstream, 0, 0, 0, -1, true, 0));
-		assertTrue(fresh > old && old > idle);
+		double fresh = score.compute(new Candidate(upstream, 1, 8, 0, 0, true, 0));
+		double old = score.compute(new Candidate(upstream, 1, 8, 0, 5_000, true, 0));
+		double withoutReport = score.compute(new Candidate(upstream, 0, 0, 0, -1, true, 0));
+		assertTrue(fresh > old && old > withoutReport);
 	}
 
 	@Test
-	void theLeastLoadedOfAllIsChosen() {
+	void theLeastLoadedUpstreamIsChosen() {
 		List<Candidate> candidates = new ArrayList<>();
 		for (Upstream upstream : service(5).upstreams()) {
 			int load = upstream.id().equals("u3") ? 1 : 4;
@@ -154,7 +157,7 @@
 	}
 
 	@Test
-	void theDeadlineIsSplitByWhatStagesAreExpectedToTake() {
+	void theDeadlineIsDividedByExpectedStageDurations() {
 		assertEquals(DeadlineSplit.budgetMs(1_000, List.of(10L, 90L)), 100);
 		assertFalse(DeadlineSplit.fits(99, List.of(10L, 90L)));
 		assertTrue(DeadlineSplit.fits(100, List.of(10L, 90L)));
@@ -165,7 +168,7 @@
 	}
 
 	@Test
-	void higherPriorityGoesFirst() {
+	void higherPriorityIsDispatchedFirst() {
 		StageQueue<String> queue = StageQueue.create(10, 1);
 		queue.offer(work("shopper", "a", 1, 10));
 		queue.offer(work("courier", "a", 1, 30));
@@ -192,7 +195,7 @@
 	}
 
 	@Test
-	void aQuietWorkspaceIsNotBehindAFloodingOne() {
+	void aQuietWorkspaceIsDispatchedBeforeAFloodingOne() {
 		StageQueue<String> queue = StageQueue.create(100, 1);
 		for (int i = 0; i < 50; i++) {
 			queue.offer(work("flood" + i, "flood", 1, 0));
@@ -219,7 +222,7 @@
 	}
 
 	@Test
-	void quantilesComeFromTheLatestSamples() {
+	void quantilesAreComputedFromTheLatestSamples() {
 		LatencyWindow window = LatencyWindow.ofSize(10);
 		assertEquals(window.quantile(0.5, 7), 7);
 		Random random = new Random(1);
