--- a/core/src/main/java/org/tallycart/core/serving/CallerLimits.java
+++ b/core/src/main/java/org/tallycart/core/serving/CallerLimits.java
@@ -1,17 +1,17 @@
 package org.tallycart.core.serving;
 
 /**
- * What callers may send, and how long they may take or stay idle.
+ * Size and time limits for caller connections and their requests.
  *
- * @param maxHeaderBytes the longest request head
- * @param maxBodyBytes the longest request body
- * @param headerTimeoutMs how long a head may take, in milliseconds
- * @param idleTimeoutMs how long a connection may be idle, in milliseconds
+ * @param maxHeaderBytes maximum size of a request head, in bytes
+ * @param maxBodyBytes maximum size of a request body, in bytes
+ * @param headerTimeoutMs maximum time to receive a request head, in milliseconds
+ * @param idleTimeoutMs maximum idle time of a connection, in milliseconds
  * @since 0.1
  */
 public record CallerLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
 
-	/** In force while no configuration is known. */
+	/** Limits used until a configuration is loaded. */
 	public static final CallerLimits DEFAULTS = new CallerLimits(16 * 1024, 4 << 20, 3_000, 15_000);
 
 }
--- a/core/src/main/java/org/tallycart/core/serving/CallerRequest.java
+++ b/core/src/main/java/org/tallycart/core/serving/CallerRequest.java
@@ -4,23 +4,24 @@
 import java.util.Optional;
 
 /**
- * A caller's request, decoded.
+ * A decoded caller request.
  * <p>
- * Immutable, given that the body is not changed.
+ * Immutable as long as the body array is not modified.
  *
- * @param id names this attempt of the caller
- * @param method the method
- * @param target path and query, as the caller wrote them
- * @param host the host without a port
- * @param forwarded fields that an upstream gets as they are
- * @param body the body
- * @param waitMs how long the caller waits from the request's arrival; empty if it does
- * not say
- * @param key the caller's key
- * @param prompt what a generation reads
- * @param pieceCounts the number of pieces of each stage; empty where there are none
- * @param pieceKey what pieces without inputs are made from
- * @param lastEventId the last event the caller has of a stream it resumes
+ * @param id the request id, unique to one attempt of the caller
+ * @param method the HTTP method
+ * @param target path and query, as sent by the caller
+ * @param host the host, without a port
+ * @param forwarded header fields passed to an upstream unchanged
+ * @param body the request body
+ * @param waitMs time the caller waits, measured from the arrival of the request, in
+ * milliseconds; empty if not stated
+ * @param key the caller's API key; empty if none was sent
+ * @param prompt the prompt, for a generation request
+ * @param pieceCounts the number of pieces of each stage; empty if the request has no
+ * stages
+ * @param pieceKey the key of the source data for pieces without inputs
+ * @param lastEventId the id of the last event received, if the caller resumes a stream
  * @since 0.1
  */
 public record CallerRequest(String id, String method, String target, String host, List<HeaderField> forwarded,
@@ -28,7 +29,7 @@
 		String pieceKey, Optional<String> lastEventId) {
 
 	/**
-	 * Return the target's path.
+	 * Return the path of the request target.
 	 * @return the path, without a query
 	 */
 	public String path() {
--- a/core/src/main/java/org/tallycart/core/serving/HeaderField.java
+++ b/core/src/main/java/org/tallycart/core/serving/HeaderField.java
@@ -1,10 +1,10 @@
 package org.tallycart.core.serving;
 
 /**
- * A field of a request's head.
+ * An HTTP header field.
  *
- * @param name its name, as the caller wrote it
- * @param value its value
+ * @param name the field name, in its original case
+ * @param value the field value
  * @since 0.1
  */
 public record HeaderField(String name, String value) {
--- a/core/src/main/java/org/tallycart/core/serving/LoadReport.java
+++ b/core/src/main/java/org/tallycart/core/serving/LoadReport.java
@@ -1,11 +1,11 @@
 package org.tallycart.core.serving;
 
 /**
- * What an upstream said of its own load.
+ * The load that an upstream reports about itself.
  *
- * @param running requests it works on
- * @param waiting requests that wait there
- * @param slots requests it can work on at the same time
+ * @param running number of requests being processed
+ * @param waiting number of queued requests
+ * @param slots number of requests it can process concurrently
  * @since 0.1
  */
 public record LoadReport(int running, int waiting, int slots) {
--- a/core/src/main/java/org/tallycart/core/serving/NodeSettings.java
+++ b/core/src/main/java/org/tallycart/core/serving/NodeSettings.java
@@ -3,33 +3,34 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * What a process learns of its VM and of the bounds it has to keep.
+ * Settings of a node process: its VM, its addresses and the limits set by the platform.
  * <p>
  * Immutable and thread-safe.
  *
- * @param vm the VM's name
- * @param ip the VM's address
- * @param failureDomain where the VM is
- * @param callers where callers are accepted
- * @param readiness where the platform asks whether the VM is ready
- * @param peerPort where other VMs are accepted; the same on all VMs
- * @param capacity the VM's processor time, in thousandths of a core
- * @param store the platform's store
- * @param platformLimits figures to be kept
- * @param evacuationsEnabled whether operators may order that nothing be sent to a failure
- * domain
+ * @param vm name of the VM
+ * @param ip IP address of the VM
+ * @param failureDomain failure domain of the VM
+ * @param callers listen address for callers
+ * @param readiness listen address for readiness probes
+ * @param peerPort listen port for other VMs; the same on all VMs
+ * @param capacity CPU capacity of the VM, in millicores
+ * @param store address of the platform's store
+ * @param platformLimits limits set by the operators of the platform
+ * @param evacuationsEnabled whether operators may evacuate a failure domain, so that no
+ * requests are sent to it
  * @since 0.1
  */
 public record NodeSettings(String vm, String ip, String failureDomain, Address callers, Address readiness, int peerPort,
 		int capacity, Address store, PlatformLimits platformLimits, boolean evacuationsEnabled) {
 
 	/**
-	 * Figures that the operators of the platform set.
+	 * Shutdown and retry limits set by the operators of the platform.
 	 *
-	 * @param graceMs time from the signal to stop to the kill, in milliseconds
-	 * @param retryRatio extra sends allowed for each request
-	 * @param retryWindowMs the window over which sends are counted, in milliseconds
-	 * @param retrySlack extra sends allowed in a window beside those, over all VMs
+	 * @param graceMs time between the stop signal and the kill, in milliseconds
+	 * @param retryRatio retries allowed per request
+	 * @param retryWindowMs length of the window in which sends are counted, in
+	 * milliseconds
+	 * @param retrySlack additional retries allowed per window, over all VMs together
 	 * @since 0.1
 	 */
 	public record PlatformLimits(long graceMs, double retryRatio, long retryWindowMs, double retrySlack) {
--- a/core/src/main/java/org/tallycart/core/serving/ParsedField.java
+++ b/core/src/main/java/org/tallycart/core/serving/ParsedField.java
@@ -4,71 +4,71 @@
 import java.util.function.Function;
 
 /**
- * What a reply says on one matter: a value, nothing, or something that cannot be read.
- * The last says neither that there is a value nor that there is none.
+ * The content of a header field of a reply: a value, absent, or malformed. A malformed
+ * field is kept distinct because it implies neither a value nor its absence.
  *
- * @param kind what it says
- * @param value the value; empty unless one is named
+ * @param state whether the field is present, absent or malformed
+ * @param value the value; empty unless the field is present
  * @param <T> the type of the value
  * @since 0.1
  */
-public record ParsedField<T>(State kind, Optional<T> value) {
+public record ParsedField<T>(State state, Optional<T> value) {
 
 	/**
-	 * Return the statement of a reply that names a value.
+	 * Create a field that has a value.
 	 * @param value the value
 	 * @param <T> the type of the value
-	 * @return the statement
+	 * @return the field
 	 */
 	public static <T> ParsedField<T> of(T value) {
-		return new ParsedField<>(State.VALUE, Optional.of(value));
+		return new ParsedField<>(State.PRESENT, Optional.of(value));
 	}
 
 	/**
-	 * Return the statement of a reply that says nothing.
+	 * Create a field that is absent.
 	 * @param <T> the type of the value
-	 * @return the statement
+	 * @return the field
 	 */
 	public static <T> ParsedField<T> absent() {
-		return new ParsedField<>(State.NOTHING, Optional.empty());
+		return new ParsedField<>(State.ABSENT, Optional.empty());
 	}
 
 	/**
-	 * Return the statement of a reply whose word cannot be read.
+	 * Create a field whose content cannot be parsed.
 	 * @param <T> the type of the value
-	 * @return the statement
+	 * @return the field
 	 */
 	public static <T> ParsedField<T> malformed() {
-		return new ParsedField<>(State.UNREADABLE, Optional.empty());
+		return new ParsedField<>(State.MALFORMED, Optional.empty());
 	}
 
 	/**
-	 * Translate the value, if there is one.
-	 * @param translation makes the new value
+	 * Convert the value, if there is one.
+	 * @param mapper converts the value
 	 * @param <U> the type of the new value
-	 * @return the statement of the new value
+	 * @return a field of the same state with the converted value
 	 */
-	public <U> ParsedField<U> map(Function<T, U> translation) {
-		return new ParsedField<>(this.kind, this.value.map(translation));
+	public <U> ParsedField<U> map(Function<T, U> mapper) {
+		return new ParsedField<>(this.state, this.value.map(mapper));
 	}
 
 	/**
-	 * Return whether the reply says something that cannot be read.
-	 * @return true if so
+	 * Return whether the content of the field cannot be parsed.
+	 * @return true if the field is malformed
 	 */
 	public boolean isMalformed() {
-		return this.kind == State.UNREADABLE;
+		return this.state == State.MALFORMED;
 	}
 
-	/** Kinds of statement. */
+	/** State of a field. */
 	public enum State {
 
-		/** It names a value. */
-		VALUE,
-		/** It says nothing. */
-		NOTHING,
-		/** What it says cannot be read. */
-		UNREADABLE
+		/** The field has a value. */
+		PRESENT,
+		/** The field is missing. */
+		ABSENT,
+		/** The content of the field cannot be parsed. */
+		MALFORMED
 
 	}
 
--- a/core/src/main/java/org/tallycart/core/serving/Prompt.java
+++ b/core/src/main/java/org/tallycart/core/serving/Prompt.java
@@ -3,55 +3,55 @@
 import java.util.List;
 
 /**
- * What a generation reads.
+ * The prompt of a generation request.
  *
- * @param model the model
- * @param promptTokens tokens to read, shared parts included
- * @param parts its parts in order, those that most requests share first; the last belongs
- * to the request itself or to its session
+ * @param model name of the model
+ * @param promptTokens total number of prompt tokens, including shared parts
+ * @param parts the parts in order, most widely shared first; the last part belongs to the
+ * session or to the request itself
  * @since 0.1
  */
 public record Prompt(String model, int promptTokens, List<PromptPart> parts) {
 
-	/** Parts of a prompt whose last one belongs to the request itself. */
-	private static final int PARTS_WITH_OWN = 3;
+	/** Minimum number of parts from which on the last part belongs to the request. */
+	private static final int MIN_PARTS_WITH_UNSHARED = 3;
 
 	/**
-	 * Return what names the prompt's session: what its requests have in common beyond
-	 * what all sessions share. Where there are three parts or more, the last is the
-	 * request's own.
-	 * @return the part's id, or an empty text where nothing is shared
+	 * Return the session id: the id of the last part that is shared between requests. In
+	 * a prompt of three or more parts, the last part belongs to the request and is not
+	 * shared.
+	 * @return the id of the part, or an empty string if nothing is shared
 	 */
 	public String session() {
-		return this.parts.isEmpty() ? "" : this.parts.get(sharedParts() - 1).id();
+		return this.parts.isEmpty() ? "" : this.parts.get(sharedPartCount() - 1).id();
 	}
 
 	/**
-	 * Return what most requests share.
-	 * @return the first part's id, or an empty text where there are no parts
+	 * Return the id of the first part, which most requests share.
+	 * @return the id, or an empty string if the prompt has no parts
 	 */
 	public String firstPart() {
 		return this.parts.isEmpty() ? "" : this.parts.get(0).id();
 	}
 
 	/**
-	 * Return the length of what most requests share.
-	 * @return tokens of the first part
+	 * Return the length of the first part.
+	 * @return the number of tokens; 0 if the prompt has no parts
 	 */
 	public int firstPartTokens() {
 		return this.parts.isEmpty() ? 0 : this.parts.get(0).tokens();
 	}
 
-	private int sharedParts() {
-		return (this.parts.size() >= PARTS_WITH_OWN) ? this.parts.size() - 1 : this.parts.size();
+	private int sharedPartCount() {
+		return (this.parts.size() >= MIN_PARTS_WITH_UNSHARED) ? this.parts.size() - 1 : this.parts.size();
 	}
 
 	/**
-	 * Return how many tokens other requests of the session share.
-	 * @return the sum
+	 * Return the number of tokens shared with other requests of the session.
+	 * @return the number of tokens
 	 */
 	public int sharedTokens() {
-		return this.parts.stream().limit(sharedParts()).mapToInt(PromptPart::tokens).sum();
+		return this.parts.stream().limit(sharedPartCount()).mapToInt(PromptPart::tokens).sum();
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/serving/RequestKind.java
+++ b/core/src/main/java/org/tallycart/core/serving/RequestKind.java
@@ -1,17 +1,17 @@
 package org.tallycart.core.serving;
 
 /**
- * What may be repeated of a request.
+ * Retry semantics of a request.
  *
  * @since 0.1
  */
 public enum RequestKind {
 
-	/** May run more than once. */
+	/** Can be executed more than once. */
 	IDEMPOTENT,
-	/** May run at most once. */
+	/** Must be executed at most once. */
 	NON_IDEMPOTENT,
-	/** Answered by a stream of events; may run again only where it can be resumed. */
+	/** Answered by an event stream; can be retried only if the stream is resumable. */
 	STREAMING
 
 }
--- a/core/src/main/java/org/tallycart/core/serving/RequestPriority.java
+++ b/core/src/main/java/org/tallycart/core/serving/RequestPriority.java
@@ -3,61 +3,61 @@
 import java.util.Optional;
 
 /**
- * How urgent a request is: by its workspace first, and by its route among those whose
- * workspaces are equal. A workspace's level does not replace the route's, or kinds of
- * requests of equal workspaces could not be told apart when a pool is short of time.
+ * Priority of a request: the level of its workspace, then the level of its route. Both
+ * are kept so that requests of equal workspaces are still ordered by route when a pool is
+ * overloaded.
  * <p>
  * Immutable.
  *
- * @param workspace the workspace's level; 0 is the most urgent
- * @param route the route's level; 0 is the most urgent
+ * @param workspace level of the workspace; 0 is the most urgent
+ * @param route level of the route; 0 is the most urgent
  * @since 0.1
  */
 public record RequestPriority(int workspace, int route) {
 
-	/** Level of a request without a workspace, or whose workspace has none. */
-	private static final int ORDINARY_LEVEL = 1;
+	/** Level of a request without a workspace or whose workspace has no level. */
+	private static final int DEFAULT_LEVEL = 1;
 
-	/** Levels that are told apart where requests are put in order. */
+	/** Number of distinct levels in the sort key. */
 	private static final int LEVELS = 10;
 
 	/**
-	 * Levels that are told apart at model engines, which know ten ranks in all: three of
-	 * workspaces and three of routes make nine.
+	 * Number of distinct levels at model engines, which accept ten priorities: three
+	 * workspace levels and three route levels use nine.
 	 */
 	private static final int ENGINE_LEVELS = 3;
 
 	/**
-	 * Return a request's rank.
-	 * @param workspace the workspace that holds the caller's key
-	 * @param route its route
-	 * @return the rank
+	 * Return the priority of a request.
+	 * @param workspace the workspace of the caller's key
+	 * @param route the route of the request
+	 * @return the priority
 	 */
 	public static RequestPriority of(Optional<Workspace> workspace, Route route) {
-		return new RequestPriority(workspace.flatMap(Workspace::priority).orElse(ORDINARY_LEVEL), route.priority());
+		return new RequestPriority(workspace.flatMap(Workspace::priority).orElse(DEFAULT_LEVEL), route.priority());
 	}
 
 	/**
-	 * Return a number by which requests are put in order.
-	 * @return 0 or more; less is more urgent
+	 * Return the sort key of the priority.
+	 * @return 0 or more; a smaller value is more urgent
 	 */
 	public int sortKey() {
-		return combined(LEVELS);
+		return combine(LEVELS);
 	}
 
 	/**
-	 * Return the rank that a model engine is told.
-	 * @return 0 to 8; less is more urgent
+	 * Return the priority to send to a model engine.
+	 * @return 0 to 8; a smaller value is more urgent
 	 */
 	public int enginePriority() {
-		return combined(ENGINE_LEVELS);
+		return combine(ENGINE_LEVELS);
 	}
 
-	private int combined(int levels) {
-		return limited(this.workspace, levels) * levels + limited(this.route, levels);
+	private int combine(int levels) {
+		return clamp(this.workspace, levels) * levels + clamp(this.route, levels);
 	}
 
-	private static int limited(int level, int levels) {
+	private static int clamp(int level, int levels) {
 		return Math.max(0, Math.min(level, levels - 1));
 	}
 
--- a/core/src/main/java/org/tallycart/core/serving/Route.java
+++ b/core/src/main/java/org/tallycart/core/serving/Route.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * Where requests of a host and path prefix go, and how.
+ * Routing rule for the requests of a host and path prefix.
  *
- * @param name the route's name
- * @param host the host it applies to
- * @param pathPrefix the prefix of paths it applies to; begins and ends with a slash
- * @param kind what may be repeated
- * @param shares the services its requests are split over, at least one
- * @param timeoutMs the longest a caller is kept waiting, in milliseconds
- * @param objectiveMs the time within which an answer earns its full worth
- * @param gapObjectiveMs the longest pause between events that is still on time; 0 for
- * none
- * @param priority its rank; 0 is the most urgent
- * @param maxAttempts how many upstreams one request may be sent to
- * @param stages the work that comes first, by number
- * @param publicAccess whether it needs no key
- * @param resumable whether a broken stream may go on at another upstream
+ * @param name name of the route
+ * @param host host of the requests
+ * @param pathPrefix path prefix of the requests; begins and ends with a slash
+ * @param kind retry semantics of the requests
+ * @param shares services that share the requests by weight; at least one
+ * @param timeoutMs request timeout, in milliseconds
+ * @param objectiveMs latency objective, in milliseconds
+ * @param gapObjectiveMs objective for the gap between two events of a stream, in
+ * milliseconds; 0 if there is none
+ * @param priority priority level; 0 is the most urgent
+ * @param maxAttempts maximum number of upstreams that one request is sent to
+ * @param stages the stages to complete before the request runs, indexed by stage number
+ * @param publicAccess whether requests need no API key
+ * @param resumable whether an interrupted stream can be resumed at another upstream
  * @since 0.1
  */
 public record Route(String name, String host, String pathPrefix, RequestKind kind, List<ServiceShare> shares,
@@ -26,32 +26,34 @@
 		boolean publicAccess, boolean resumable) {
 
 	/**
-	 * Callers wait at least this long for the first event of a stream, in milliseconds.
+	 * Minimum timeout for the first event of a stream, in milliseconds.
 	 */
-	private static final long LEAST_PATIENCE_MS = 2_000;
+	private static final long MIN_FIRST_EVENT_TIMEOUT_MS = 2_000;
 
-	/** Callers wait for the first event for this many times the objective. */
-	private static final long PATIENCE_OBJECTIVES = 4;
+	/** Timeout for the first event, as a multiple of the latency objective. */
+	private static final long OBJECTIVE_MULTIPLE = 4;
 
-	/** Callers wait for an event for this many times the longest pause on time. */
-	private static final long PATIENCE_GAPS = 8;
+	/** Timeout for an event, as a multiple of the gap objective. */
+	private static final long GAP_OBJECTIVE_MULTIPLE = 8;
 
 	/**
-	 * Return how long callers wait for an answer to begin, whatever time they allow for
-	 * the whole: they leave a stream that stands still for the longest of three times,
-	 * which the callers' protocol names.
-	 * @return milliseconds; the longest time there is where the answer is no stream
+	 * Return the time after which callers give up on a stream without a first event,
+	 * regardless of their timeout for the whole response. The caller protocol defines it
+	 * as the longest of a minimum, a multiple of the latency objective and a multiple of
+	 * the gap objective.
+	 * @return the timeout, in milliseconds; {@link Long#MAX_VALUE} if the response is not
+	 * a stream
 	 */
 	public long firstEventTimeoutMs() {
 		if (this.kind != RequestKind.STREAMING) {
 			return Long.MAX_VALUE;
 		}
-		return Math.max(LEAST_PATIENCE_MS,
-				Math.max(this.objectiveMs * PATIENCE_OBJECTIVES, this.gapObjectiveMs * PATIENCE_GAPS));
+		return Math.max(MIN_FIRST_EVENT_TIMEOUT_MS,
+				Math.max(this.objectiveMs * OBJECTIVE_MULTIPLE, this.gapObjectiveMs * GAP_OBJECTIVE_MULTIPLE));
 	}
 
 	/**
-	 * Return whether a request may run again after it may have run.
+	 * Return whether a request can be retried although it may have been executed.
 	 * @return true for idempotent requests and for streams that can be resumed
 	 */
 	public boolean repeatable() {
@@ -59,19 +61,19 @@
 	}
 
 	/**
-	 * Choose a service by weight.
-	 * @param draw a number that is spread evenly over all longs
+	 * Select a service by weight.
+	 * @param random a random number, uniform over all long values
 	 * @return the service
 	 */
-	public String selectService(long draw) {
+	public String selectService(long random) {
 		int total = this.shares.stream().mapToInt(ServiceShare::weight).sum();
 		if (total <= 0) {
 			return this.shares.get(0).service();
 		}
-		long rest = Math.floorMod(draw, (long) total);
+		long remaining = Math.floorMod(random, (long) total);
 		for (ServiceShare share : this.shares) {
-			rest -= share.weight();
-			if (rest < 0) {
+			remaining -= share.weight();
+			if (remaining < 0) {
 				return share.service();
 			}
 		}
--- a/core/src/main/java/org/tallycart/core/serving/SendOptions.java
+++ b/core/src/main/java/org/tallycart/core/serving/SendOptions.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * What an upstream is told beside the caller's own request.
+ * Options sent to an upstream in addition to the caller's request.
  *
- * @param remainingMs how long it may work, in milliseconds
+ * @param remainingMs time left for processing, in milliseconds
  * @param workspace the caller's workspace
- * @param priority the request's rank for an engine; empty for plain services
- * @param inputs handles of the stage results that it reads
- * @param fetchFrom an engine to copy shared parts of the prompt from
- * @param lastEventId the last event of the stream that the caller has
+ * @param priority priority at a model engine; empty for plain services
+ * @param inputs handles of the stage results to read
+ * @param fetchFrom engine to copy the shared prompt parts from
+ * @param lastEventId id of the last event that the caller received, for a resumed stream
  * @since 0.1
  */
 public record SendOptions(long remainingMs, Optional<String> workspace, Optional<Integer> priority, List<String> inputs,
--- a/core/src/main/java/org/tallycart/core/serving/ServiceShare.java
+++ b/core/src/main/java/org/tallycart/core/serving/ServiceShare.java
@@ -1,10 +1,10 @@
 package org.tallycart.core.serving;
 
 /**
- * A service's share of a route's requests.
+ * Weighted share of a service in the requests of a route.
  *
- * @param service the service
- * @param weight its weight against the route's other shares
+ * @param service name of the service
+ * @param weight weight relative to the other shares of the route
  * @since 0.1
  */
 public record ServiceShare(String service, int weight) {
--- a/core/src/main/java/org/tallycart/core/serving/ServingConfig.java
+++ b/core/src/main/java/org/tallycart/core/serving/ServingConfig.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * One version of the configuration, whole. A request is served by the version that was in
- * force when it arrived.
+ * One complete version of the configuration. A request is served with the version that
+ * was active when it arrived.
  * <p>
  * Immutable and thread-safe.
  *
@@ -25,28 +25,29 @@
 
 	private final Map<String, Workspace> workspacesByKey;
 
-	private final boolean keysNeeded;
+	private final boolean keysRequired;
 
 	/**
-	 * Create a version.
-	 * @param version its number; rises with each change
+	 * Create a configuration version.
+	 * @param version the version number; increases with each change
 	 * @param routes the routes
 	 * @param services the services by name
-	 * @param limits what callers may send
-	 * @param workspacesByKey the workspace of each key
-	 * @param keysNeeded whether requests need a key, unless their route is open
+	 * @param limits the limits for callers
+	 * @param workspacesByKey the workspaces by API key
+	 * @param keysRequired whether requests need an API key, except on routes with public
+	 * access
 	 */
 	public ServingConfig(long version, List<Route> routes, Map<String, ServiceSpec> services, CallerLimits limits,
-			Map<String, Workspace> workspacesByKey, boolean keysNeeded) {
+			Map<String, Workspace> workspacesByKey, boolean keysRequired) {
 		this.version = version;
-		this.routesByHost = index(routes);
+		this.routesByHost = indexByHost(routes);
 		this.services = Map.copyOf(services);
 		this.limits = limits;
 		this.workspacesByKey = Map.copyOf(workspacesByKey);
-		this.keysNeeded = keysNeeded;
+		this.keysRequired = keysRequired;
 	}
 
-	private static Map<String, Map<String, Route>> index(List<Route> routes) {
+	private static Map<String, Map<String, Route>> indexByHost(List<Route> routes) {
 		Map<String, Map<String, Route>> byHost = new HashMap<>();
 		for (Route route : routes) {
 			byHost.computeIfAbsent(route.host(), (host) -> new HashMap<>()).put(route.pathPrefix(), route);
@@ -55,18 +56,19 @@
 	}
 
 	/**
-	 * Return the version's number.
-	 * @return the number
+	 * Return the version number.
+	 * @return the version number
 	 */
 	public long version() {
 		return this.version;
 	}
 
 	/**
-	 * Find the route of a request: of its host's routes, the one with the longest prefix.
+	 * Find the route of a request: the route of the host with the longest matching
+	 * prefix.
 	 * @param host the host, without a port
 	 * @param path the path, without a query
-	 * @return the route, if there is one
+	 * @return the route, or empty if none matches
 	 */
 	public Optional<Route> route(String host, String path) {
 		Map<String, Route> byPrefix = this.routesByHost.get(host);
@@ -84,8 +86,8 @@
 
 	/**
 	 * Return a service.
-	 * @param name its name
-	 * @return the service, if the configuration knows it
+	 * @param name the name of the service
+	 * @return the service, or empty if it is not configured
 	 */
 	public Optional<ServiceSpec> service(String name) {
 		return Optional.ofNullable(this.services.get(name));
@@ -100,7 +102,7 @@
 	}
 
 	/**
-	 * Return what callers may send.
+	 * Return the limits for callers.
 	 * @return the limits
 	 */
 	public CallerLimits limits() {
@@ -108,18 +110,18 @@
 	}
 
 	/**
-	 * Return whether a request on a route needs a key.
+	 * Return whether requests on a route need an API key.
 	 * @param route the route
-	 * @return true if it does
+	 * @return true if a key is required
 	 */
 	public boolean needsKey(Route route) {
-		return this.keysNeeded && !route.publicAccess();
+		return this.keysRequired && !route.publicAccess();
 	}
 
 	/**
-	 * Return the workspace that holds a key.
+	 * Return the workspace of an API key.
 	 * @param key the key
-	 * @return the workspace, if one holds it
+	 * @return the workspace, or empty if the key is unknown
 	 */
 	public Optional<Workspace> workspace(String key) {
 		return Optional.ofNullable(this.workspacesByKey.get(key));
--- a/core/src/main/java/org/tallycart/core/serving/UpstreamEntry.java
+++ b/core/src/main/java/org/tallycart/core/serving/UpstreamEntry.java
@@ -5,48 +5,48 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * One incarnation of an upstream, as the platform lists it.
+ * One incarnation of an upstream, as listed by the platform.
  * <p>
- * An upstream may start again under the name that it had. So its name and its start
- * together tell one incarnation from another, where it tells its start.
+ * An upstream may restart under the same name, so an incarnation is identified by name
+ * and start time if the start time is known.
  *
- * @param id its name
- * @param startedMs when it started, in Unix milliseconds on its own clock; empty where
- * upstreams do not tell it
- * @param service the service it provides
- * @param address where it listens; used again by others once it is gone
- * @param failureDomain where it runs
- * @param slots requests it works on at the same time
- * @param draining whether it has announced that it leaves
- * @param coldMs how much longer it stays cold after its start, in milliseconds, when the
- * entry was written; 0 if it is warm
+ * @param id name of the upstream
+ * @param startedMs start time in Unix milliseconds on the clock of the upstream; empty if
+ * not reported
+ * @param service the service that the upstream provides
+ * @param address listen address; may be reused by another upstream later
+ * @param failureDomain failure domain of the upstream
+ * @param slots maximum number of concurrent requests
+ * @param draining whether the upstream has announced its shutdown
+ * @param coldMs remaining cold start time when the entry was written, in milliseconds; 0
+ * if the upstream is warm
  * @since 0.1
  */
 public record UpstreamEntry(String id, OptionalLong startedMs, String service, Address address, String failureDomain,
 		int slots, boolean draining, long coldMs) {
 
 	/**
-	 * Describe an upstream.
-	 * @param id its name
-	 * @param service the service it provides
-	 * @return a builder for a warm upstream of one slot that is ready
+	 * Create a builder.
+	 * @param id the name of the upstream
+	 * @param service the service that the upstream provides
+	 * @return a builder for a warm upstream with one slot that is not draining
 	 */
 	public static Builder builder(String id, String service) {
 		return new Builder(id, service);
 	}
 
 	/**
-	 * Return what names this incarnation and no other.
-	 * @return a name
+	 * Return an id that is unique to this incarnation.
+	 * @return the id
 	 */
 	public String incarnation() {
 		return this.startedMs.isPresent() ? this.id + "@" + this.startedMs.getAsLong() : this.id;
 	}
 
 	/**
-	 * Return whether this incarnation started after another one of the same name.
-	 * @param other the other
-	 * @return false also where either does not tell its start
+	 * Return whether this incarnation started after another one with the same name.
+	 * @param other the other incarnation
+	 * @return true if it did; false if either start time is unknown
 	 */
 	public boolean startedAfter(UpstreamEntry other) {
 		return this.startedMs.isPresent() && other.startedMs.isPresent()
@@ -54,19 +54,20 @@
 	}
 
 	/**
-	 * Return whether this entry is news to one who knows another one of the same name. A
-	 * cold upstream's entry changes with each of its heartbeats, as the time goes down.
-	 * @param known the other
-	 * @return true if more differs than how long it stays cold, or if it has turned cold
+	 * Return whether this entry differs from an earlier entry with the same name. A
+	 * decrease of the remaining cold start time is ignored because it occurs with every
+	 * heartbeat of a cold upstream.
+	 * @param previous the earlier entry
+	 * @return true if anything else differs or if the upstream has become cold
 	 */
-	public boolean isChangedFrom(UpstreamEntry known) {
-		boolean turnedCold = known.coldMs == 0 && this.coldMs > 0;
-		return turnedCold || !withColdMs(0).equals(known.withColdMs(0));
+	public boolean isChangedFrom(UpstreamEntry previous) {
+		boolean becameCold = previous.coldMs == 0 && this.coldMs > 0;
+		return becameCold || !withColdMs(0).equals(previous.withColdMs(0));
 	}
 
-	private UpstreamEntry withColdMs(long leftMs) {
+	private UpstreamEntry withColdMs(long remainingMs) {
 		return new UpstreamEntry(this.id, this.startedMs, this.service, this.address, this.failureDomain, this.slots,
-				this.draining, leftMs);
+				this.draining, remainingMs);
 	}
 
 	/**
@@ -96,55 +97,55 @@
 		}
 
 		/**
-		 * Tell when it started.
-		 * @param unixMs milliseconds of Unix time on its own clock; empty if it does not
-		 * tell
+		 * Set the start time.
+		 * @param newStartedMs start time in Unix milliseconds on the clock of the
+		 * upstream; empty if not reported
 		 * @return this builder
 		 */
-		public Builder startedMs(OptionalLong unixMs) {
-			this.startedMs = unixMs;
+		public Builder startedMs(OptionalLong newStartedMs) {
+			this.startedMs = newStartedMs;
 			return this;
 		}
 
 		/**
-		 * Tell where it is.
-		 * @param listensAt where it listens
-		 * @param domain the failure domain in which it runs
+		 * Set the address and failure domain.
+		 * @param newAddress the listen address
+		 * @param newDomain the failure domain
 		 * @return this builder
 		 */
-		public Builder location(Address listensAt, String domain) {
-			this.address = listensAt;
-			this.failureDomain = domain;
+		public Builder location(Address newAddress, String newDomain) {
+			this.address = newAddress;
+			this.failureDomain = newDomain;
 			return this;
 		}
 
 		/**
-		 * Tell how much it works on at the same time.
-		 * @param requests how many requests
+		 * Set the maximum number of concurrent requests.
+		 * @param newSlots the number of requests
 		 * @return this builder
 		 */
-		public Builder slots(int requests) {
-			this.slots = requests;
+		public Builder slots(int newSlots) {
+			this.slots = newSlots;
 			return this;
 		}
 
 		/**
-		 * Tell whether it leaves.
-		 * @param leaves whether it has announced that it leaves
+		 * Set whether the upstream is draining.
+		 * @param newDraining whether the upstream has announced its shutdown
 		 * @return this builder
 		 */
-		public Builder draining(boolean leaves) {
-			this.draining = leaves;
+		public Builder draining(boolean newDraining) {
+			this.draining = newDraining;
 			return this;
 		}
 
 		/**
-		 * Tell how much longer it stays cold.
-		 * @param leftMs milliseconds; 0 if it is warm
+		 * Set the remaining cold start time.
+		 * @param remainingMs milliseconds; 0 if the upstream is warm
 		 * @return this builder
 		 */
-		public Builder coldMs(long leftMs) {
-			this.coldMs = leftMs;
+		public Builder coldMs(long remainingMs) {
+			this.coldMs = remainingMs;
 			return this;
 		}
 
--- a/core/src/main/java/org/tallycart/core/serving/UpstreamReply.java
+++ b/core/src/main/java/org/tallycart/core/serving/UpstreamReply.java
@@ -4,19 +4,20 @@
 import java.util.Optional;
 
 /**
- * The head of an upstream's reply, decoded.
+ * The decoded head of an upstream reply.
  *
- * @param status the status
- * @param requestId the request it answers, if it says so
- * @param notRun whether the upstream states that it did not run the request
- * @param stamped whether it carries the upstream's mark, which a success needs
- * @param load what the upstream said of its load
- * @param maxRequestsPerSecond the requests a second that the upstream takes from all VMs
- * together, for as long as its replies say so; where they say nothing it takes what comes
- * @param draining whether the upstream says that it leaves; said once, it holds for good
- * @param retryAfterMs for how long the upstream wants no requests from this VM, in
- * milliseconds from its reply
- * @param fields fields that a caller gets as they are
+ * @param status the HTTP status
+ * @param requestId id of the request that is answered; empty if not stated
+ * @param notRun whether the upstream states that it did not execute the request
+ * @param stamped whether the reply carries the response stamp, which a success requires
+ * @param load load reported by the upstream
+ * @param maxRequestsPerSecond rate limit stated by the upstream in requests per second,
+ * over all VMs together; applies only while its replies state it
+ * @param draining whether the upstream states that it is draining; a single such
+ * statement is final
+ * @param retryAfterMs time during which the upstream asks for no requests from this VM,
+ * in milliseconds from the reply
+ * @param fields header fields passed to the caller unchanged
  * @since 0.1
  */
 public record UpstreamReply(int status, Optional<String> requestId, boolean notRun, boolean stamped,
@@ -24,8 +25,8 @@
 		ParsedField<Long> retryAfterMs, List<HeaderField> fields) {
 
 	/**
-	 * Return whether the reply is a success.
-	 * @return true for a signed status of the 2xx class
+	 * Return whether the status is of the 2xx class.
+	 * @return true if it is; {@link #stamped()} has to be checked in addition
 	 */
 	public boolean success() {
 		return this.status >= 200 && this.status < 300;
--- a/core/src/main/java/org/tallycart/core/serving/Workspace.java
+++ b/core/src/main/java/org/tallycart/core/serving/Workspace.java
@@ -3,10 +3,11 @@
 import java.util.Optional;
 
 /**
- * A workspace whose callers share keys.
+ * A workspace, as identified by an API key.
  *
- * @param name its name
- * @param priority its level, which goes before a route's; empty if it has none
+ * @param name name of the workspace
+ * @param priority priority level, which takes precedence over that of a route; empty if
+ * not set
  * @since 0.1
  */
 public record Workspace(String name, Optional<Integer> priority) {
--- a/core/src/main/java/org/tallycart/core/serving/package-info.java
+++ b/core/src/main/java/org/tallycart/core/serving/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What serving is configured by: routes, services, workspaces, upstreams, and a caller's
- * request in the project's own terms. All types are immutable.
+ * Configuration of request serving (routes, services, workspaces, upstreams) and the
+ * decoded requests and replies. All types are immutable except builders.
  */
 @NullMarked
 package org.tallycart.core.serving;
--- a/core/src/test/java/org/tallycart/core/serving/RequestPriorityTests.java
+++ b/core/src/test/java/org/tallycart/core/serving/RequestPriorityTests.java
@@ -10,7 +10,7 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for the rank of requests.
+ * Tests for {@link RequestPriority}.
  */
 public class RequestPriorityTests {
 
@@ -23,19 +23,19 @@
 	}
 
 	@Test(dataProvider = "pairs")
-	void theMoreUrgentComesFirst(String pattern, RequestPriority first, RequestPriority second) {
+	void moreUrgentRequestSortsFirst(String pattern, RequestPriority first, RequestPriority second) {
 		assertTrue(first.sortKey() < second.sortKey(), pattern);
 		assertTrue(first.enginePriority() < second.enginePriority(), pattern);
 	}
 
 	@Test
-	void levelsBeyondThoseThatAreToldApartCountAsTheLast() {
+	void levelsOutOfRangeAreClamped() {
 		assertEquals(new RequestPriority(7, 8).enginePriority(), 8);
 		assertEquals(new RequestPriority(12, -1).sortKey(), 90);
 	}
 
 	@Test
-	void aRequestWithoutAWorkspaceIsAnOrdinaryOne() {
+	void requestWithoutWorkspaceLevelHasDefaultLevel() {
 		Route route = new Route("r", "h", "/", RequestKind.STREAMING, List.of(), 6_000, 1_100, 200, 2, 1, List.of(),
 				false, true);
 		assertEquals(RequestPriority.of(Optional.empty(), route), new RequestPriority(1, 2));
--- a/core/src/test/java/org/tallycart/core/serving/ServingConfigTests.java
+++ b/core/src/test/java/org/tallycart/core/serving/ServingConfigTests.java
@@ -13,14 +13,14 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for routes, shares and keys.
+ * Tests for {@link ServingConfig} and {@link Route}.
  */
 public class ServingConfigTests {
 
-	private static Route route(String prefix, RequestKind kind, boolean open, boolean resumable) {
+	private static Route route(String prefix, RequestKind kind, boolean publicAccess, boolean resumable) {
 		return new Route("route" + prefix, "h", prefix, kind,
-				List.of(new ServiceShare("a", 90), new ServiceShare("b", 10)), 1_000, 100, 0, 0, 1, List.of(), open,
-				resumable);
+				List.of(new ServiceShare("a", 90), new ServiceShare("b", 10)), 1_000, 100, 0, 0, 1, List.of(),
+				publicAccess, resumable);
 	}
 
 	private static final ServingConfig CONFIG = new ServingConfig(7,
@@ -36,7 +36,7 @@
 	}
 
 	@Test(dataProvider = "paths")
-	void theLongestPrefixOfTheHostIsTheRoute(String host, String path, String prefix) {
+	void longestPrefixOfTheHostIsSelected(String host, String path, String prefix) {
 		assertEquals(CONFIG.route(host, path).map(Route::pathPrefix).orElse(""), prefix);
 	}
 
@@ -44,14 +44,14 @@
 	void requestsAreSplitByWeight() {
 		Route route = CONFIG.route("h", "/x").orElseThrow();
 		Map<String, Integer> counts = new HashMap<>();
-		for (int draw = -500; draw < 500; draw++) {
-			counts.merge(route.selectService(draw), 1, Integer::sum);
+		for (int random = -500; random < 500; random++) {
+			counts.merge(route.selectService(random), 1, Integer::sum);
 		}
 		assertEquals(counts, Map.of("a", 900, "b", 100));
 	}
 
 	@Test
-	void openRoutesNeedNoKey() {
+	void routesWithPublicAccessNeedNoKey() {
 		assertFalse(CONFIG.needsKey(CONFIG.route("h", "/a/x").orElseThrow()));
 		assertTrue(CONFIG.needsKey(CONFIG.route("h", "/x").orElseThrow()));
 		assertEquals(CONFIG.workspace("key").orElseThrow().name(), "w");
@@ -59,7 +59,7 @@
 	}
 
 	@Test
-	void onlyIdempotentRequestsAndResumableStreamsMayRunAgain() {
+	void onlyIdempotentRequestsAndResumableStreamsAreRepeatable() {
 		assertTrue(route("/", RequestKind.IDEMPOTENT, false, false).repeatable());
 		assertFalse(route("/", RequestKind.NON_IDEMPOTENT, false, true).repeatable());
 		assertFalse(route("/", RequestKind.STREAMING, false, false).repeatable());
@@ -67,19 +67,23 @@
 	}
 
 	@DataProvider
-	static Object[][] patience() {
+	static Object[][] firstEventTimeouts() {
 		return new Object[][] { { RequestKind.STREAMING, 1_100, 200, 4_400L },
 				{ RequestKind.STREAMING, 300, 100, 2_000L }, { RequestKind.STREAMING, 300, 500, 4_000L },
 				{ RequestKind.IDEMPOTENT, 100, 0, Long.MAX_VALUE },
 				{ RequestKind.NON_IDEMPOTENT, 100, 0, Long.MAX_VALUE } };
 	}
 
-	/** A caller that allows 20 s for the whole answer is gone long before that. */
-	@Test(dataProvider = "patience")
-	void callersLeaveAStreamThatDoesNotBegin(RequestKind kind, long objectiveMs, long gapMs, long patienceMs) {
+	/**
+	 * Guards against waiting for the request timeout of 20 s when the caller gives up
+	 * earlier.
+	 */
+	@Test(dataProvider = "firstEventTimeouts")
+	void firstEventTimeoutOfAStreamIgnoresTheRequestTimeout(RequestKind kind, long objectiveMs, long gapMs,
+			long timeoutMs) {
 		Route route = new Route("r", "h", "/", kind, List.of(), 20_000, objectiveMs, gapMs, 0, 1, List.of(), false,
 				false);
-		assertEquals(route.firstEventTimeoutMs(), patienceMs);
+		assertEquals(route.firstEventTimeoutMs(), timeoutMs);
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/serving/UpstreamEntryTests.java
+++ b/core/src/test/java/org/tallycart/core/serving/UpstreamEntryTests.java
@@ -9,7 +9,7 @@
 import static org.testng.Assert.assertEquals;
 
 /**
- * Tests for what an entry of an upstream tells.
+ * Tests for {@link UpstreamEntry}.
  */
 public class UpstreamEntryTests {
 
@@ -27,17 +27,20 @@
 	}
 
 	@Test(dataProvider = "changes")
-	void anEntryOfAWarmUpstreamIsNewsIfItSaysAnythingElse(UpstreamEntry.Builder fresh, boolean news) {
-		assertEquals(fresh.build().isChangedFrom(entry().build()), news);
+	void anyDifferenceOfAWarmUpstreamIsAChange(UpstreamEntry.Builder fresh, boolean changed) {
+		assertEquals(fresh.build().isChangedFrom(entry().build()), changed);
 	}
 
-	/** Pattern: a failure domain of cold upstreams, whose entries change every second. */
+	/**
+	 * Guards against a stream of updates from cold upstreams, whose entries are rewritten
+	 * every second.
+	 */
 	@Test
-	void thatLessOfTheColdTimeIsLeftIsNoNews() {
-		UpstreamEntry known = entry().coldMs(2_400).build();
-		assertEquals(entry().coldMs(1_200).build().isChangedFrom(known), false);
-		assertEquals(entry().build().isChangedFrom(known), false);
-		assertEquals(entry().coldMs(1_200).draining(true).build().isChangedFrom(known), true);
+	void decreasingColdTimeIsNotAChange() {
+		UpstreamEntry previous = entry().coldMs(2_400).build();
+		assertEquals(entry().coldMs(1_200).build().isChangedFrom(previous), false);
+		assertEquals(entry().build().isChangedFrom(previous), false);
+		assertEquals(entry().coldMs(1_200).draining(true).build().isChangedFrom(previous), true);
 	}
 
 }
