--- a/core/src/main/java/org/tallycart/core/crash/CrashingRequestDetector.java
+++ b/core/src/main/java/org/tallycart/core/crash/CrashingRequestDetector.java
@@ -10,192 +10,190 @@
 import java.util.Set;
 
 /**
- * Finds the requests that crash upstreams, among all that were there when upstreams
- * ended.
+ * Detects requests that crash upstreams among all requests that were in flight at
+ * upstreams when they crashed.
  * <p>
- * A request is named when it was sent to three upstreams one after the other, each time
- * after the one before had ended, under two ids at least, no other request was at as many
- * of these ends, and no VM tells within a moment that it answered it whole since the
- * first of them. So ends at the same moment, as of a failure domain, accuse nobody; a
- * request that shared upstreams with the one that ended them was at no more ends than
- * that one; and one that many callers send was answered somewhere.
+ * A request is confirmed as crashing if it was sent to three upstreams one after the
+ * other, each time after the previous one had crashed, under at least two request ids, no
+ * other request was involved in as many of these crashes, and no VM reports within the
+ * confirmation delay that it has completed the request since the first of them.
+ * Simultaneous crashes, such as the loss of a failure domain, therefore confirm no
+ * request, and neither does sharing upstreams with a crashing request or sending a
+ * request that succeeds elsewhere.
  * <p>
- * Each end costs what else ran there. Without this, engines end as long as the request
- * comes: 42 in one half minute on six VMs, while 57 of 116 requests were in time. With
- * it, 8, 10, 12 and 14 at most end in fleets of 6, 18, 86 and 300 VMs at which up to six
- * copies a second arrive, and none is sent later than three seconds after the third end;
- * {@code CrashLedgerTests} counts them.
- * <p>
- * Invariant: an end at which a named request was is held against no other. Not
- * thread-safe: belongs to one event loop.
+ * Invariant: a crash that involves a confirmed request counts against no other request.
+ * Not thread-safe: confined to one event loop.
  *
  * @since 0.1
  */
 public final class CrashingRequestDetector {
 
-	/** How long a request waits for a word that it was answered, in milliseconds. */
+	/** Time for VMs to report that they have completed a suspect, in milliseconds. */
 	public static final long CONFIRMATION_DELAY_MS = 200;
 
-	/** Ends one after the other that name a request; the users allow for three. */
-	private static final int MIN_ENDS = 3;
+	/** Minimum number of consecutive crashes that confirm a request. */
+	private static final int MIN_CRASHES = 3;
 
 	/**
-	 * Ids under which a request has to have come: what one attempt of a caller meets on
-	 * its way may be bad luck, and a caller that does not come again does no more harm.
+	 * Minimum number of request ids of a confirmed request. A single attempt may be
+	 * involved by coincidence, and does no further harm unless the caller retries it.
 	 */
-	private static final int MIN_REQUESTS = 2;
+	private static final int MIN_REQUEST_IDS = 2;
 
 	/**
-	 * A request that was sent up to this long before an end was reported counts as sent
-	 * after it, in milliseconds: reports of two VMs come with different delays.
+	 * Tolerance for a request that was sent before a crash was reported to count as sent
+	 * after it, in milliseconds. Reports of different VMs have different delays.
 	 */
-	private static final long DELAY_MS = 10;
+	private static final long REPORT_DELAY_TOLERANCE_MS = 10;
 
 	/**
-	 * Ends within this time of each other count as one event, in milliseconds: what ends
-	 * several upstreams at once, such as the loss of a failure domain, is no request that
-	 * was at only one of them. Reports of one event come within some milliseconds.
+	 * Maximum time between crashes that count as one event, in milliseconds. An event
+	 * that affects several upstreams, such as the loss of a failure domain, is not caused
+	 * by a request that was in flight at only one of them.
 	 */
-	private static final long SAME_MOMENT_MS = 20;
+	private static final long SIMULTANEOUS_MS = 20;
 
 	/**
-	 * Ends meanwhile without the request that ask for one more with it: where upstreams
-	 * end often by themselves, three in a row may be bad luck.
+	 * Number of unrelated crashes that raises the required number of consecutive crashes
+	 * by one, because frequent unrelated crashes make coincidences likely.
 	 */
-	private static final int OTHER_ENDS_WEIGH = 5;
+	private static final int UNRELATED_CRASHES_PER_EXTRA = 5;
 
-	/** How far back other ends are counted, in milliseconds. */
-	private static final long OTHER_ENDS_MS = 10_000;
+	/** Window in which unrelated crashes are counted, in milliseconds. */
+	private static final long UNRELATED_WINDOW_MS = 10_000;
 
-	/** How long an end is remembered, in milliseconds. */
-	private static final long MEMORY_MS = 600_000;
+	/** Retention time of a crash, in milliseconds. */
+	private static final long RETENTION_MS = 600_000;
 
-	/** Ends remembered, at most: the oldest give way. */
-	private static final int MOST_ENDS = 1_000;
+	/** Maximum number of retained crashes; the oldest are removed first. */
+	private static final int MAX_CRASHES = 1_000;
 
-	/** A request that was answered whole is no suspect for this long, in milliseconds. */
-	private static final long CLEARED_MS = 10_000;
+	/** Time during which a completed request is not a suspect, in milliseconds. */
+	private static final long CLEARED_RETENTION_MS = 10_000;
 
 	/**
-	 * Requests named within the memory, at most. More than that do not crash upstreams:
-	 * the upstreams fail, and to refuse their requests would help nobody.
+	 * Maximum number of confirmed requests within the retention time. Above it, the
+	 * upstreams themselves are the likely cause, so that refusing requests would not
+	 * help.
 	 */
-	private static final int MOST_NAMED = 100;
+	private static final int MAX_CONFIRMED = 100;
 
-	private final Map<String, End> ends = new LinkedHashMap<>();
+	private final Map<String, Crash> crashes = new LinkedHashMap<>();
 
-	private final Map<Fingerprint, List<End>> bySuspect = new HashMap<>();
+	private final Map<Fingerprint, List<Crash>> crashesBySuspect = new HashMap<>();
 
 	private final Map<Fingerprint, Long> cleared = new HashMap<>();
 
-	private final Map<Fingerprint, Long> named = new HashMap<>();
+	private final Map<Fingerprint, Long> confirmed = new HashMap<>();
 
-	private final Map<Fingerprint, Long> dueMs = new LinkedHashMap<>();
+	private final Map<Fingerprint, Long> confirmationDueMs = new LinkedHashMap<>();
 
 	/**
-	 * Take a report.
-	 * @param report what a VM saw of an upstream's end
-	 * @param nowMs the steady clock
-	 * @return requests that will be named unless they are cleared first: all VMs are to
-	 * be asked whether they answered them
+	 * Add a report.
+	 * @param report a VM's report of an upstream crash
+	 * @param nowMs the current time on the monotonic clock, in milliseconds
+	 * @return the new suspects, to be confirmed unless they are cleared first; all VMs
+	 * have to be asked whether they have completed them
 	 */
 	public List<Fingerprint> onReport(CrashReport report, long nowMs) {
 		expire(nowMs);
-		End end = this.ends.computeIfAbsent(report.incarnation(), (key) -> new End(report.endedMs()));
+		Crash crash = this.crashes.computeIfAbsent(report.incarnation(), (key) -> new Crash(report.endedMs()));
 		for (Suspect suspect : report.suspects()) {
 			if (!this.cleared.containsKey(suspect.fingerprint())) {
-				add(end, suspect);
+				add(crash, suspect);
 			}
 		}
-		List<Fingerprint> fresh = new ArrayList<>();
-		for (Fingerprint suspect : end.sentMs.keySet()) {
-			if (accused(suspect) && this.dueMs.putIfAbsent(suspect, nowMs + CONFIRMATION_DELAY_MS) == null) {
-				fresh.add(suspect);
+		List<Fingerprint> newSuspects = new ArrayList<>();
+		for (Fingerprint suspect : crash.sentMs.keySet()) {
+			if (meetsCriteria(suspect)
+					&& this.confirmationDueMs.putIfAbsent(suspect, nowMs + CONFIRMATION_DELAY_MS) == null) {
+				newSuspects.add(suspect);
 			}
 		}
-		return fresh;
+		return newSuspects;
 	}
 
 	/**
-	 * Return when the first upstream ended at which a request was.
+	 * Return the time of the first crash that involved a request.
 	 * @param fingerprint the request
-	 * @param nowMs the steady clock
-	 * @return a time on the steady clock; now if there is none
+	 * @param nowMs the current time on the monotonic clock, in milliseconds
+	 * @return the time on the monotonic clock, in milliseconds; {@code nowMs} if there is
+	 * none
 	 */
 	public long firstCrashMs(Fingerprint fingerprint, long nowMs) {
-		return this.bySuspect.getOrDefault(fingerprint, List.of())
+		return this.crashesBySuspect.getOrDefault(fingerprint, List.of())
 			.stream()
-			.mapToLong((end) -> end.endedMs)
+			.mapToLong((crash) -> crash.crashedMs)
 			.min()
 			.orElse(nowMs);
 	}
 
-	private void add(End end, Suspect suspect) {
+	private void add(Crash crash, Suspect suspect) {
 		Fingerprint fingerprint = suspect.fingerprint();
-		if (!end.sentMs.containsKey(fingerprint)) {
-			this.bySuspect.computeIfAbsent(fingerprint, (key) -> new ArrayList<>()).add(end);
+		if (!crash.sentMs.containsKey(fingerprint)) {
+			this.crashesBySuspect.computeIfAbsent(fingerprint, (key) -> new ArrayList<>()).add(crash);
 		}
-		end.sentMs.merge(fingerprint, suspect.sentMs(), Math::max);
-		end.requestIds.computeIfAbsent(fingerprint, (key) -> new HashSet<>()).add(suspect.requestId());
+		crash.sentMs.merge(fingerprint, suspect.sentMs(), Math::max);
+		crash.requestIds.computeIfAbsent(fingerprint, (key) -> new HashSet<>()).add(suspect.requestId());
 	}
 
 	private void expire(long nowMs) {
-		this.cleared.values().removeIf((at) -> nowMs - at > CLEARED_MS);
-		this.named.values().removeIf((at) -> nowMs - at > MEMORY_MS);
-		List<String> old = new ArrayList<>();
-		this.ends.forEach((incarnation, end) -> {
-			if (nowMs - end.endedMs > MEMORY_MS || this.ends.size() - old.size() >= MOST_ENDS) {
-				old.add(incarnation);
+		this.cleared.values().removeIf((at) -> nowMs - at > CLEARED_RETENTION_MS);
+		this.confirmed.values().removeIf((at) -> nowMs - at > RETENTION_MS);
+		List<String> expired = new ArrayList<>();
+		this.crashes.forEach((incarnation, crash) -> {
+			if (nowMs - crash.crashedMs > RETENTION_MS || this.crashes.size() - expired.size() >= MAX_CRASHES) {
+				expired.add(incarnation);
 			}
 		});
-		old.forEach(this::forget);
+		expired.forEach(this::removeCrash);
 	}
 
-	private void forget(String incarnation) {
-		End end = this.ends.remove(incarnation);
-		if (end != null) {
-			end.sentMs.keySet().forEach((suspect) -> leave(suspect, end));
+	private void removeCrash(String incarnation) {
+		Crash crash = this.crashes.remove(incarnation);
+		if (crash != null) {
+			crash.sentMs.keySet().forEach((suspect) -> removeFrom(suspect, crash));
 		}
 	}
 
-	private void leave(Fingerprint suspect, End end) {
-		List<End> known = this.bySuspect.getOrDefault(suspect, new ArrayList<>());
-		known.remove(end);
-		if (known.isEmpty()) {
-			this.bySuspect.remove(suspect);
+	private void removeFrom(Fingerprint suspect, Crash crash) {
+		List<Crash> crashesOfSuspect = this.crashesBySuspect.getOrDefault(suspect, new ArrayList<>());
+		crashesOfSuspect.remove(crash);
+		if (crashesOfSuspect.isEmpty()) {
+			this.crashesBySuspect.remove(suspect);
 		}
 	}
 
 	/**
-	 * Take note that a request was answered whole: it was only there when upstreams
-	 * ended.
+	 * Clear a request that was completed, and so was involved in crashes only by
+	 * coincidence.
 	 * @param fingerprint the request
-	 * @param nowMs the steady clock
+	 * @param nowMs the current time on the monotonic clock, in milliseconds
 	 */
 	public void onCleared(Fingerprint fingerprint, long nowMs) {
 		this.cleared.put(fingerprint, nowMs);
-		this.dueMs.remove(fingerprint);
-		for (End end : this.bySuspect.getOrDefault(fingerprint, List.of())) {
-			end.sentMs.remove(fingerprint);
-			end.requestIds.remove(fingerprint);
+		this.confirmationDueMs.remove(fingerprint);
+		for (Crash crash : this.crashesBySuspect.getOrDefault(fingerprint, List.of())) {
+			crash.sentMs.remove(fingerprint);
+			crash.requestIds.remove(fingerprint);
 		}
-		this.bySuspect.remove(fingerprint);
+		this.crashesBySuspect.remove(fingerprint);
 	}
 
 	/**
-	 * Take the requests that are found to crash upstreams.
-	 * @param nowMs the steady clock
-	 * @return those that were not taken before
+	 * Take the requests that have been confirmed as crashing.
+	 * @param nowMs the current time on the monotonic clock, in milliseconds
+	 * @return the newly confirmed requests
 	 */
 	public List<Fingerprint> takeConfirmed(long nowMs) {
 		List<Fingerprint> found = new ArrayList<>();
-		for (Fingerprint suspect : List.copyOf(this.dueMs.keySet())) {
-			if (nowMs < this.dueMs.getOrDefault(suspect, nowMs)) {
+		for (Fingerprint suspect : List.copyOf(this.confirmationDueMs.keySet())) {
+			if (nowMs < this.confirmationDueMs.getOrDefault(suspect, nowMs)) {
 				continue;
 			}
-			this.dueMs.remove(suspect);
-			if (accused(suspect) && this.named.size() < MOST_NAMED) {
-				this.named.put(suspect, nowMs);
+			this.confirmationDueMs.remove(suspect);
+			if (meetsCriteria(suspect) && this.confirmed.size() < MAX_CONFIRMED) {
+				this.confirmed.put(suspect, nowMs);
 				found.add(suspect);
 			}
 		}
@@ -203,94 +201,96 @@
 	}
 
 	/**
-	 * Return at how many ends a request was.
+	 * Return the number of crashes that involved a request.
 	 * @param fingerprint the request
 	 * @return the count
 	 */
 	public int crashCount(Fingerprint fingerprint) {
-		return this.bySuspect.getOrDefault(fingerprint, List.of()).size();
+		return this.crashesBySuspect.getOrDefault(fingerprint, List.of()).size();
 	}
 
-	private boolean accused(Fingerprint suspect) {
-		List<End> known = this.bySuspect.getOrDefault(suspect, List.of());
-		if (known.size() < MIN_ENDS || this.named.containsKey(suspect)) {
+	private boolean meetsCriteria(Fingerprint suspect) {
+		List<Crash> crashesOfSuspect = this.crashesBySuspect.getOrDefault(suspect, List.of());
+		if (crashesOfSuspect.size() < MIN_CRASHES || this.confirmed.containsKey(suspect)) {
 			return false;
 		}
-		int all = inARow(suspect, unexplained(known));
-		List<End> own = unexplained(known).stream()
-			.filter((end) -> mostAt(end, suspect, all) && atAllEndsOfItsMoment(end, suspect))
+		int total = consecutiveCrashes(suspect, unexplained(crashesOfSuspect));
+		List<Crash> ownCrashes = unexplained(crashesOfSuspect).stream()
+			.filter((crash) -> hasMostCrashes(crash, suspect, total) && isInAllSimultaneousCrashes(crash, suspect))
 			.toList();
-		return inARow(suspect, own) >= MIN_ENDS + othersMeanwhile(suspect, own) / OTHER_ENDS_WEIGH
-				&& requests(suspect, own) >= MIN_REQUESTS;
+		return consecutiveCrashes(suspect, ownCrashes) >= MIN_CRASHES
+				+ unrelatedCrashes(suspect, ownCrashes) / UNRELATED_CRASHES_PER_EXTRA
+				&& requestIdCount(suspect, ownCrashes) >= MIN_REQUEST_IDS;
 	}
 
-	private List<End> unexplained(List<End> known) {
-		return known.stream()
-			.filter((end) -> end.sentMs.keySet().stream().noneMatch(this.named::containsKey))
-			.sorted(Comparator.comparingLong((end) -> end.endedMs))
+	private List<Crash> unexplained(List<Crash> crashesOfSuspect) {
+		return crashesOfSuspect.stream()
+			.filter((crash) -> crash.sentMs.keySet().stream().noneMatch(this.confirmed::containsKey))
+			.sorted(Comparator.comparingLong((crash) -> crash.crashedMs))
 			.toList();
 	}
 
-	// Whether a request was at more ends than any other that was at this one.
-	private boolean mostAt(End end, Fingerprint suspect, int count) {
-		return end.sentMs.keySet()
+	// Returns whether no other request of this crash was involved in as many crashes.
+	private boolean hasMostCrashes(Crash crash, Fingerprint suspect, int count) {
+		return crash.sentMs.keySet()
 			.stream()
 			.filter((other) -> !other.equals(suspect))
-			.noneMatch((other) -> this.bySuspect.getOrDefault(other, List.of()).size() >= count
-					&& inARow(other, unexplained(this.bySuspect.getOrDefault(other, List.of()))) >= count);
+			.noneMatch((other) -> this.crashesBySuspect.getOrDefault(other, List.of()).size() >= count
+					&& consecutiveCrashes(other,
+							unexplained(this.crashesBySuspect.getOrDefault(other, List.of()))) >= count);
 	}
 
-	private boolean atAllEndsOfItsMoment(End end, Fingerprint suspect) {
-		return this.ends.values()
+	private boolean isInAllSimultaneousCrashes(Crash crash, Fingerprint suspect) {
+		return this.crashes.values()
 			.stream()
-			.filter((other) -> Math.abs(other.endedMs - end.endedMs) <= SAME_MOMENT_MS)
+			.filter((other) -> Math.abs(other.crashedMs - crash.crashedMs) <= SIMULTANEOUS_MS)
 			.allMatch((other) -> other.sentMs.containsKey(suspect));
 	}
 
-	// At how many moments lately upstreams ended without a request, up to its last end.
-	private long othersMeanwhile(Fingerprint suspect, List<End> own) {
-		if (own.isEmpty()) {
+	// Counts recent crash events without the request, up to its last crash.
+	private long unrelatedCrashes(Fingerprint suspect, List<Crash> ownCrashes) {
+		if (ownCrashes.isEmpty()) {
 			return 0;
 		}
-		long untilMs = own.get(own.size() - 1).endedMs;
-		return unexplained(List.copyOf(this.ends.values())).stream()
-			.filter((end) -> end.endedMs <= untilMs && end.endedMs > untilMs - OTHER_ENDS_MS)
-			.filter((end) -> !end.sentMs.containsKey(suspect))
-			.mapToLong((end) -> end.endedMs / SAME_MOMENT_MS)
+		long untilMs = ownCrashes.get(ownCrashes.size() - 1).crashedMs;
+		return unexplained(List.copyOf(this.crashes.values())).stream()
+			.filter((crash) -> crash.crashedMs <= untilMs && crash.crashedMs > untilMs - UNRELATED_WINDOW_MS)
+			.filter((crash) -> !crash.sentMs.containsKey(suspect))
+			.mapToLong((crash) -> crash.crashedMs / SIMULTANEOUS_MS)
 			.distinct()
 			.count();
 	}
 
-	private static int requests(Fingerprint suspect, List<End> at) {
+	private static int requestIdCount(Fingerprint suspect, List<Crash> crashList) {
 		Set<String> ids = new HashSet<>();
-		at.forEach((end) -> ids.addAll(end.requestIds.getOrDefault(suspect, Set.of())));
+		crashList.forEach((crash) -> ids.addAll(crash.requestIds.getOrDefault(suspect, Set.of())));
 		return ids.size();
 	}
 
-	// How many of some ends, in their order, a request met one after the other.
-	private static int inARow(Fingerprint suspect, List<End> at) {
+	// Counts crashes, in order, to which the request was sent after the previous one.
+	private static int consecutiveCrashes(Fingerprint suspect, List<Crash> crashList) {
 		int count = 0;
-		long lastMs = Long.MIN_VALUE / 2;
-		for (End end : at) {
-			if (end.sentMs.getOrDefault(suspect, Long.MIN_VALUE) + DELAY_MS >= lastMs) {
+		long lastCrashMs = Long.MIN_VALUE / 2;
+		for (Crash crash : crashList) {
+			if (crash.sentMs.getOrDefault(suspect, Long.MIN_VALUE) + REPORT_DELAY_TOLERANCE_MS >= lastCrashMs) {
 				count++;
-				lastMs = end.endedMs;
+				lastCrashMs = crash.crashedMs;
 			}
 		}
 		return count;
 	}
 
-	/** An upstream's end, and who was there. */
-	private static final class End {
+	/** A crash of an upstream and the suspects involved in it. */
+	private static final class Crash {
 
-		private final long endedMs;
+		private final long crashedMs;
 
 		private final Map<Fingerprint, Long> sentMs = new HashMap<>();
 
 		private final Map<Fingerprint, Set<String>> requestIds = new HashMap<>();
 
-		End(long endedMs) {
-			this.endedMs = endedMs;
+		Crash(long crashedMs) {
+			this.crashedMs = crashedMs;
 		}
 
 	}
--- a/core/src/main/java/org/tallycart/core/crash/Fingerprint.java
+++ b/core/src/main/java/org/tallycart/core/crash/Fingerprint.java
@@ -9,8 +9,8 @@
 import org.tallycart.core.serving.CallerRequest;
 
 /**
- * Names a request by what it asks for and who asks, so that it is known again under
- * another id: the caller's key, the method, host and target, and the body.
+ * Identifies requests with the same content and caller under different request ids: a
+ * digest of the caller's API key, the method, host, target and body.
  * <p>
  * Immutable and thread-safe.
  *
@@ -19,19 +19,19 @@
  */
 public record Fingerprint(String value) {
 
-	/** Names no request. */
+	/** Fingerprint of no request. */
 	public static final Fingerprint NONE = new Fingerprint("");
 
-	/** Bytes kept of the digest: enough that no two requests meet by chance. */
-	private static final int KEPT_BYTES = 16;
+	/** Length of the truncated digest, in bytes. */
+	private static final int DIGEST_BYTES = 16;
 
-	/** Hexadecimal digits that logs show. */
+	/** Length of the short form, in hexadecimal digits. */
 	private static final int SHORT_DIGITS = 12;
 
 	/**
-	 * Compute a request's fingerprint.
+	 * Compute the fingerprint of a request.
 	 * @param request the request
-	 * @return the same for each request with the same content and caller
+	 * @return the fingerprint; equal for requests with the same content and caller
 	 */
 	public static Fingerprint of(CallerRequest request) {
 		MessageDigest digest = Digest.sha256();
@@ -40,10 +40,10 @@
 		add(digest, request.target());
 		add(digest, request.key().orElse(""));
 		digest.update(request.body());
-		return new Fingerprint(HexFormat.of().formatHex(digest.digest(), 0, KEPT_BYTES));
+		return new Fingerprint(HexFormat.of().formatHex(digest.digest(), 0, DIGEST_BYTES));
 	}
 
-	// Each text goes with its length, so that no two rows of texts look alike.
+	// The length prefix keeps the boundaries between the texts unambiguous.
 	private static void add(MessageDigest digest, String text) {
 		byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
 		digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).flip());
@@ -51,8 +51,8 @@
 	}
 
 	/**
-	 * Return a form for logs.
-	 * @return the first digits
+	 * Return a short form for logs.
+	 * @return the first digits of the value
 	 */
 	public String shortText() {
 		return this.value.substring(0, Math.min(SHORT_DIGITS, this.value.length()));
--- a/core/src/main/java/org/tallycart/core/crash/Quarantine.java
+++ b/core/src/main/java/org/tallycart/core/crash/Quarantine.java
@@ -9,57 +9,58 @@
 import java.util.Set;
 
 /**
- * The requests that are kept away from upstreams, since they crash those that run them.
- * Each is for a time, so that an upstream that was mended serves it again; operators end
- * it sooner by removing its object from the platform's store.
+ * Requests that are not sent to upstreams because they crash them. The quarantine of a
+ * request is limited in time, so that a fixed upstream serves it again; operators can end
+ * it earlier by removing its object from the platform's store.
  * <p>
- * Not thread-safe: belongs to one event loop.
+ * Not thread-safe: confined to one event loop.
  *
  * @since 0.1
  */
 public final class Quarantine {
 
 	/**
-	 * How long a request is kept away, in milliseconds. What crashes upstreams is mended
-	 * by a release of their software, which takes longer; so at most three upstreams end
-	 * in ten minutes.
+	 * Duration of a quarantine, in milliseconds; bounds the rate of crashes until the
+	 * upstream software is fixed.
 	 */
 	public static final long DURATION_MS = 600_000;
 
 	private final Map<Fingerprint, Long> untilMs = new HashMap<>();
 
-	// Those that the platform's store held when it was last read.
-	private final Set<Fingerprint> listed = new HashSet<>();
+	// The requests that the platform's store contained when it was last read.
+	private final Set<Fingerprint> stored = new HashSet<>();
 
-	private final Map<Fingerprint, Set<Runnable>> underWay = new HashMap<>();
+	private final Map<Fingerprint, Set<Runnable>> inFlight = new HashMap<>();
 
 	/**
-	 * Keep a request away from upstreams from now on.
+	 * Quarantine a request and notify its requests in flight.
 	 * @param fingerprint the request
-	 * @param untilMs until when, on the steady clock
-	 * @return whether that is news
+	 * @param untilMs end of the quarantine on the monotonic clock, in milliseconds
+	 * @return true if the request was not quarantined before
 	 */
 	public boolean add(Fingerprint fingerprint, long untilMs) {
-		boolean fresh = this.untilMs.putIfAbsent(fingerprint, untilMs) == null;
-		if (fresh) {
-			new ArrayList<>(this.underWay.getOrDefault(fingerprint, Set.of())).forEach(Runnable::run);
+		boolean added = this.untilMs.putIfAbsent(fingerprint, untilMs) == null;
+		if (added) {
+			new ArrayList<>(this.inFlight.getOrDefault(fingerprint, Set.of())).forEach(Runnable::run);
 		}
-		return fresh;
+		return added;
 	}
 
 	/**
-	 * Take what the platform's store holds. What it held before and holds no more is
-	 * ended; what another VM told and it does not hold yet stays.
-	 * @param all until when each request is kept away, on the steady clock
-	 * @return whether anything changed
+	 * Apply the content of the platform's store. Requests that have been removed from it
+	 * are released; requests reported by another VM that it does not contain yet stay
+	 * quarantined.
+	 * @param all end of the quarantine of each stored request, on the monotonic clock, in
+	 * milliseconds
+	 * @return true if the quarantine changed
 	 */
 	public boolean replaceStored(Map<Fingerprint, Long> all) {
-		Set<Fingerprint> ended = new HashSet<>(this.listed);
-		ended.removeAll(all.keySet());
-		ended.forEach(this.untilMs::remove);
-		this.listed.clear();
-		this.listed.addAll(all.keySet());
-		boolean changed = !ended.isEmpty();
+		Set<Fingerprint> released = new HashSet<>(this.stored);
+		released.removeAll(all.keySet());
+		released.forEach(this.untilMs::remove);
+		this.stored.clear();
+		this.stored.addAll(all.keySet());
+		boolean changed = !released.isEmpty();
 		for (Map.Entry<Fingerprint, Long> entry : all.entrySet()) {
 			changed |= add(entry.getKey(), entry.getValue());
 		}
@@ -67,69 +68,70 @@
 	}
 
 	/**
-	 * End the term of a request.
+	 * Release a request from quarantine.
 	 * @param fingerprint the request
-	 * @return whether it was kept away
+	 * @return true if it was quarantined
 	 */
 	public boolean lift(Fingerprint fingerprint) {
-		this.listed.remove(fingerprint);
+		this.stored.remove(fingerprint);
 		return this.untilMs.remove(fingerprint) != null;
 	}
 
 	/**
-	 * Return for how much longer a request is kept away.
+	 * Return the remaining quarantine time of a request.
 	 * @param fingerprint the request
-	 * @param nowMs the steady clock
-	 * @return milliseconds; 0 if it may be sent
+	 * @param nowMs the current time on the monotonic clock, in milliseconds
+	 * @return the time, in milliseconds; 0 if the request is not quarantined
 	 */
 	public long remainingMs(Fingerprint fingerprint, long nowMs) {
 		return Math.max(this.untilMs.getOrDefault(fingerprint, nowMs) - nowMs, 0);
 	}
 
 	/**
-	 * Drop what is over.
-	 * @param nowMs the steady clock
-	 * @return the requests whose term in the platform's store is over
+	 * Remove expired quarantines.
+	 * @param nowMs the current time on the monotonic clock, in milliseconds
+	 * @return the expired requests that the platform's store contained
 	 */
 	public List<Fingerprint> expire(long nowMs) {
-		List<Fingerprint> over = new ArrayList<>();
+		List<Fingerprint> expired = new ArrayList<>();
 		this.untilMs.forEach((fingerprint, until) -> {
 			if (until <= nowMs) {
-				over.add(fingerprint);
+				expired.add(fingerprint);
 			}
 		});
-		over.forEach(this.untilMs::remove);
-		over.retainAll(this.listed);
-		return over;
+		expired.forEach(this.untilMs::remove);
+		expired.retainAll(this.stored);
+		return expired;
 	}
 
 	/**
-	 * Return the requests that are kept away.
-	 * @return until when each is, on the steady clock
+	 * Return the quarantined requests.
+	 * @return end of the quarantine of each request, on the monotonic clock, in
+	 * milliseconds
 	 */
 	public Map<Fingerprint, Long> all() {
 		return Map.copyOf(this.untilMs);
 	}
 
 	/**
-	 * Take note that a request is under way.
+	 * Register a request in flight.
 	 * @param fingerprint the request
-	 * @param onQuarantined runs when it is to be kept away after all
+	 * @param onQuarantined callback to run if the request is quarantined while in flight
 	 */
 	public void addInFlight(Fingerprint fingerprint, Runnable onQuarantined) {
-		this.underWay.computeIfAbsent(fingerprint, (key) -> new LinkedHashSet<>()).add(onQuarantined);
+		this.inFlight.computeIfAbsent(fingerprint, (key) -> new LinkedHashSet<>()).add(onQuarantined);
 	}
 
 	/**
-	 * Take note that a request has ended.
+	 * Unregister a request that is no longer in flight.
 	 * @param fingerprint the request
-	 * @param onQuarantined what was given when it was under way
+	 * @param onQuarantined the callback that was registered
 	 */
 	public void removeInFlight(Fingerprint fingerprint, Runnable onQuarantined) {
-		Set<Runnable> left = this.underWay.getOrDefault(fingerprint, new HashSet<>());
-		left.remove(onQuarantined);
-		if (left.isEmpty()) {
-			this.underWay.remove(fingerprint);
+		Set<Runnable> callbacks = this.inFlight.getOrDefault(fingerprint, new HashSet<>());
+		callbacks.remove(onQuarantined);
+		if (callbacks.isEmpty()) {
+			this.inFlight.remove(fingerprint);
 		}
 	}
 
--- a/core/src/main/java/org/tallycart/core/crash/RecentCrashReports.java
+++ b/core/src/main/java/org/tallycart/core/crash/RecentCrashReports.java
@@ -10,71 +10,73 @@
 import java.util.Set;
 
 /**
- * Reports of crashes that were heard lately, by upstream, so that they can be told again
- * when the VM that collects them is lost.
+ * Recently received crash reports by upstream, kept so that they can be sent again if the
+ * VM that collects them fails.
  * <p>
- * Invariant: what was heard before is no news, whatever way it comes, so a report that
- * goes round ends. Not thread-safe: belongs to one event loop.
+ * Invariant: a suspect that was received before is not returned as new, whichever path it
+ * takes, so that reports are not relayed in a loop. Not thread-safe: confined to one
+ * event loop.
  *
  * @since 0.1
  */
 public final class RecentCrashReports {
 
 	/**
-	 * How long a report is kept, in milliseconds: a VM that reads the store in place of
-	 * another one does so within two seconds; callers try again within a minute.
+	 * Retention time of a report, in milliseconds; covers the failover of the collecting
+	 * VM and the retries of callers.
 	 */
-	private static final long KEPT_MS = 60_000;
+	private static final long RETENTION_MS = 60_000;
 
-	/** Crashes kept, at most: the oldest give way. */
-	private static final int MOST_CRASHES = 256;
+	/** Maximum number of crashes; the oldest are removed first. */
+	private static final int MAX_CRASHES = 256;
 
 	private final Map<String, Crash> crashes = new LinkedHashMap<>();
 
-	// All that are kept, so that a request that is none costs one look.
-	private final Set<Fingerprint> suspects = new HashSet<>();
+	// Fingerprints of all current suspects, for a constant-time lookup.
+	private final Set<Fingerprint> suspectFingerprints = new HashSet<>();
 
 	/**
-	 * Take a report.
+	 * Add a report.
 	 * @param report the report
-	 * @param nowMs the steady clock
-	 * @return what of it was not known yet
+	 * @param nowMs the current time on the monotonic clock, in milliseconds
+	 * @return a report of the suspects that are new, or empty if there are none
 	 */
 	public Optional<CrashReport> add(CrashReport report, long nowMs) {
 		expire(nowMs);
 		Crash crash = this.crashes.computeIfAbsent(report.incarnation(), (key) -> new Crash(report.endedMs()));
-		List<Suspect> fresh = new ArrayList<>();
+		List<Suspect> newSuspects = new ArrayList<>();
 		for (Suspect suspect : report.suspects()) {
 			if (crash.requestIds.add(suspect.requestId())) {
 				crash.suspects.add(suspect);
-				this.suspects.add(suspect.fingerprint());
-				fresh.add(suspect);
+				this.suspectFingerprints.add(suspect.fingerprint());
+				newSuspects.add(suspect);
 			}
 		}
-		return fresh.isEmpty() ? Optional.empty()
-				: Optional.of(CrashReport.of(report.incarnation(), report.endedMs(), fresh));
+		return newSuspects.isEmpty() ? Optional.empty()
+				: Optional.of(CrashReport.of(report.incarnation(), report.endedMs(), newSuspects));
 	}
 
 	private void expire(long nowMs) {
-		boolean dropped = this.crashes.values().removeIf((crash) -> nowMs - crash.endedMs > KEPT_MS);
-		if (this.crashes.size() >= MOST_CRASHES) {
+		boolean removed = this.crashes.values().removeIf((crash) -> nowMs - crash.crashedMs > RETENTION_MS);
+		if (this.crashes.size() >= MAX_CRASHES) {
 			this.crashes.remove(this.crashes.keySet().iterator().next());
-			dropped = true;
+			removed = true;
 		}
-		if (dropped) {
-			this.suspects.clear();
+		if (removed) {
+			this.suspectFingerprints.clear();
 			this.crashes.values()
-				.forEach((crash) -> crash.suspects.forEach((suspect) -> this.suspects.add(suspect.fingerprint())));
+				.forEach((crash) -> crash.suspects
+					.forEach((suspect) -> this.suspectFingerprints.add(suspect.fingerprint())));
 		}
 	}
 
 	/**
-	 * Take note that a request was answered whole: it crashes no upstream.
+	 * Remove a request from the suspects because it was completed.
 	 * @param fingerprint the request
-	 * @return whether it was a suspect
+	 * @return true if it was a suspect
 	 */
 	public boolean removeSuspect(Fingerprint fingerprint) {
-		if (!this.suspects.remove(fingerprint)) {
+		if (!this.suspectFingerprints.remove(fingerprint)) {
 			return false;
 		}
 		this.crashes.values()
@@ -83,31 +85,31 @@
 	}
 
 	/**
-	 * Return all that is kept.
-	 * @return a report for each upstream
+	 * Return all retained reports.
+	 * @return one report for each upstream with suspects
 	 */
 	public List<CrashReport> all() {
 		List<CrashReport> all = new ArrayList<>();
 		this.crashes.forEach((incarnation, crash) -> {
 			if (!crash.suspects.isEmpty()) {
-				all.add(CrashReport.of(incarnation, crash.endedMs, crash.suspects));
+				all.add(CrashReport.of(incarnation, crash.crashedMs, crash.suspects));
 			}
 		});
 		return all;
 	}
 
-	/** What is known of one upstream's end. */
+	/** The suspects of one crash. */
 	private static final class Crash {
 
-		private final long endedMs;
+		private final long crashedMs;
 
 		private final Set<Suspect> suspects = new LinkedHashSet<>();
 
-		// Of all that were ever suspects, those that are cleared too.
+		// Request ids of all suspects, including the removed ones.
 		private final Set<String> requestIds = new HashSet<>();
 
-		Crash(long endedMs) {
-			this.endedMs = endedMs;
+		Crash(long crashedMs) {
+			this.crashedMs = crashedMs;
 		}
 
 	}
--- a/core/src/main/java/org/tallycart/core/crash/ServedRequests.java
+++ b/core/src/main/java/org/tallycart/core/crash/ServedRequests.java
@@ -4,45 +4,44 @@
 import java.util.Map;
 
 /**
- * The requests that one VM has answered whole lately, by which it can tell that a request
- * does not crash upstreams.
+ * Requests that one VM has recently completed, as evidence that they do not crash
+ * upstreams.
  * <p>
- * Not thread-safe: belongs to one event loop.
+ * Not thread-safe: confined to one event loop.
  *
  * @since 0.1
  */
 public final class ServedRequests {
 
 	/**
-	 * Requests remembered, at most: a VM that answers 30 a second, as planned, remembers
-	 * more than a minute.
+	 * Maximum number of retained requests; the oldest are removed first.
 	 */
-	private static final int MOST = 2_048;
+	private static final int MAX_REQUESTS = 2_048;
 
-	private final Map<Fingerprint, Long> servedMs = new LinkedHashMap<>();
+	private final Map<Fingerprint, Long> completedMs = new LinkedHashMap<>();
 
 	/**
-	 * Take note that a request was answered whole.
+	 * Record that a request was completed.
 	 * @param fingerprint the request
-	 * @param nowMs the steady clock
+	 * @param nowMs the current time on the monotonic clock, in milliseconds
 	 */
 	public void add(Fingerprint fingerprint, long nowMs) {
-		this.servedMs.remove(fingerprint);
-		this.servedMs.put(fingerprint, nowMs);
-		if (this.servedMs.size() > MOST) {
-			this.servedMs.remove(this.servedMs.keySet().iterator().next());
+		this.completedMs.remove(fingerprint);
+		this.completedMs.put(fingerprint, nowMs);
+		if (this.completedMs.size() > MAX_REQUESTS) {
+			this.completedMs.remove(this.completedMs.keySet().iterator().next());
 		}
 	}
 
 	/**
-	 * Return whether a request was answered since some time.
+	 * Return whether a request was completed at or after a given time.
 	 * @param fingerprint the request
-	 * @param sinceMs the time, on the steady clock
-	 * @return true if it was, and is remembered
+	 * @param sinceMs the time on the monotonic clock, in milliseconds
+	 * @return true if it was and is still retained
 	 */
 	public boolean servedSince(Fingerprint fingerprint, long sinceMs) {
-		Long at = this.servedMs.get(fingerprint);
-		return at != null && at >= sinceMs;
+		Long lastMs = this.completedMs.get(fingerprint);
+		return lastMs != null && lastMs >= sinceMs;
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/crash/Suspect.java
+++ b/core/src/main/java/org/tallycart/core/crash/Suspect.java
@@ -1,12 +1,13 @@
 package org.tallycart.core.crash;
 
 /**
- * A request that may have ended an upstream: it was there, and had just begun to run or
- * may have begun.
+ * A request that may have crashed an upstream: it was in flight there and had only just
+ * started, or may have started.
  *
- * @param fingerprint what it asks for
- * @param requestId which attempt of its caller it was
- * @param sentMs when it was sent there, on the steady clock
+ * @param fingerprint fingerprint of the request
+ * @param requestId request id, unique to one attempt of the caller
+ * @param sentMs time at which it was sent to the upstream, on the monotonic clock, in
+ * milliseconds
  * @since 0.1
  */
 public record Suspect(Fingerprint fingerprint, String requestId, long sentMs) {
--- a/core/src/main/java/org/tallycart/core/crash/package-info.java
+++ b/core/src/main/java/org/tallycart/core/crash/package-info.java
@@ -1,8 +1,7 @@
 /**
- * Requests that crash the upstreams that run them: how they are told from requests that
- * only shared an upstream with one, and kept away from upstreams. Reads no clock and
- * opens no socket. Promise kept: no request is kept away for what another one did; tests
- * are in {@code CrashLedgerTests}.
+ * Detection and quarantine of requests that crash upstreams. Reads no clock and opens no
+ * socket. Guarantee: no request is quarantined for crashes caused by another one; see
+ * {@code CrashingRequestDetectorTests}.
  */
 @NullMarked
 package org.tallycart.core.crash;
--- a/core/src/test/java/org/tallycart/core/crash/CrashingFleetSimulation.java
+++ b/core/src/test/java/org/tallycart/core/crash/CrashingFleetSimulation.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 
 /**
- * A fleet in virtual time: callers, VMs that send to engines and report their ends, and
- * one ledger. Engines that a request crashes end a moment after they began to run it, and
- * come back under a new name.
+ * Simulates a fleet in virtual time: callers, VMs that send requests to engines and
+ * report their crashes, and one detector. A crashing request crashes an engine shortly
+ * after it was started there; the engine restarts as a new incarnation.
  * <p>
  * Not thread-safe.
  */
@@ -23,24 +23,24 @@
 
 	static final String CRASHING = "crashing";
 
-	/** What was seen of engines: they end up to this long after they began a run. */
-	private static final int CRASH_MS = 90;
+	/** Maximum time from the start of a crashing request to the crash. */
+	private static final int MAX_CRASH_DELAY_MS = 90;
 
-	/** Requests that had run for longer are no suspects. */
-	private static final int BEGIN_MS = 300;
+	/** Maximum run time of a suspect. */
+	private static final int MAX_SUSPECT_RUN_MS = 300;
 
-	private static final int BACK_MS = 3_000;
+	private static final int RESTART_MS = 3_000;
 
-	private static final int SENDS = 2;
+	private static final int MAX_SENDS = 2;
 
-	/** How long after the third end a request may still be sent. */
-	private static final int ALLOWED_MS = 3_000;
+	/** Time after the third crash from which on a send counts as late. */
+	private static final int LATE_AFTER_MS = 3_000;
 
-	/** From a cut to a report at the ledger, and from its finding to all VMs. */
-	private static final int NEWS_MS = 60;
+	/** Delay of messages between VMs. */
+	private static final int MESSAGE_DELAY_MS = 60;
 
-	/** What the next run in an engine's queue waits for each that is there. */
-	private static final int QUEUE_MS = 15;
+	/** Queueing delay per request at an engine. */
+	private static final int QUEUE_DELAY_MS = 15;
 
 	private final Random random;
 
@@ -53,13 +53,13 @@
 
 	private final List<ServedRequests> served = new ArrayList<>();
 
-	private final CrashingRequestDetector ledger = new CrashingRequestDetector();
+	private final CrashingRequestDetector detector = new CrashingRequestDetector();
 
-	private final Set<Fingerprint> kept = new HashSet<>();
+	private final Set<Fingerprint> quarantined = new HashSet<>();
 
-	private final Map<String, Integer> ends = new HashMap<>();
+	private final Map<String, Integer> crashes = new HashMap<>();
 
-	private final Map<String, Long> thirdEndMs = new HashMap<>();
+	private final Map<String, Long> thirdCrashMs = new HashMap<>();
 
 	private int lateSends;
 
@@ -80,79 +80,81 @@
 		}
 	}
 
-	void after(long ms, Runnable what) {
-		this.events.add(new Event(this.now + ms, this.lastEvent++, what));
+	void schedule(long ms, Runnable action) {
+		this.events.add(new Event(this.now + ms, this.lastEvent++, action));
 	}
 
-	// Requests that come at random moments, each from another caller.
-	void traffic(int perSecond, String prefix, boolean alike, long untilMs) {
+	// Sends requests at random intervals, each from another caller.
+	void startTraffic(int perSecond, String prefix, boolean sameContent, long untilMs) {
 		if (this.now >= untilMs) {
 			return;
 		}
-		call(alike ? prefix : prefix + this.lastId, true);
-		after(1 + this.random.nextInt(2_000 / perSecond), () -> traffic(perSecond, prefix, alike, untilMs));
+		submit(sameContent ? prefix : prefix + this.lastId, true);
+		schedule(1 + this.random.nextInt(2_000 / perSecond),
+				() -> startTraffic(perSecond, prefix, sameContent, untilMs));
 	}
 
-	void call(String content, boolean comesAgain) {
-		new Request(content, "r" + this.lastId++, comesAgain).send();
+	void submit(String content, boolean retries) {
+		new Request(content, "r" + this.lastId++, retries).send();
 	}
 
-	// Several engines end at the same moment, whatever they run.
-	void loseEngines(int count) {
-		List<Engine> lost = new ArrayList<>(this.engines);
-		lost.removeIf((engine) -> !engine.alive);
-		Collections.shuffle(lost, this.random);
-		lost.stream().limit(count).toList().forEach(Engine::end);
+	// Crashes several engines at the same time, regardless of their requests.
+	void crashEngines(int count) {
+		List<Engine> candidates = new ArrayList<>(this.engines);
+		candidates.removeIf((engine) -> !engine.alive);
+		Collections.shuffle(candidates, this.random);
+		candidates.stream().limit(count).toList().forEach(Engine::terminate);
 	}
 
 	void runUntil(long ms) {
 		while (!this.events.isEmpty() && this.events.peek().atMs() <= ms) {
 			Event next = this.events.poll();
 			this.now = next.atMs();
-			next.what().run();
+			next.action().run();
 		}
 	}
 
-	Set<Fingerprint> kept() {
-		return this.kept;
+	Set<Fingerprint> quarantined() {
+		return this.quarantined;
 	}
 
-	// Sends of a request later than the users allow after its third end.
+	// Returns the number of sends later than allowed after the third crash.
 	int lateSends() {
 		return this.lateSends;
 	}
 
-	private void countLate(String content) {
-		if (this.now > this.thirdEndMs.getOrDefault(content, Long.MAX_VALUE - ALLOWED_MS) + ALLOWED_MS) {
+	private void recordLateSend(String content) {
+		if (this.now > this.thirdCrashMs.getOrDefault(content, Long.MAX_VALUE - LATE_AFTER_MS) + LATE_AFTER_MS) {
 			this.lateSends++;
 		}
 	}
 
-	int ends(String content) {
-		return this.ends.getOrDefault(content, 0);
+	int crashCount(String content) {
+		return this.crashes.getOrDefault(content, 0);
 	}
 
 	private void report(CrashReport report) {
-		this.ledger.onReport(report, this.now)
-			.forEach((suspect) -> after(NEWS_MS, () -> ask(suspect, this.ledger.firstCrashMs(suspect, this.now))));
-		after(CrashingRequestDetector.CONFIRMATION_DELAY_MS, () -> {
-			List<Fingerprint> found = this.ledger.takeConfirmed(this.now);
-			after(NEWS_MS, () -> keepAway(found));
+		this.detector.onReport(report, this.now)
+			.forEach((suspect) -> schedule(MESSAGE_DELAY_MS,
+					() -> askForCompletion(suspect, this.detector.firstCrashMs(suspect, this.now))));
+		schedule(CrashingRequestDetector.CONFIRMATION_DELAY_MS, () -> {
+			List<Fingerprint> confirmed = this.detector.takeConfirmed(this.now);
+			schedule(MESSAGE_DELAY_MS, () -> quarantine(confirmed));
 		});
 	}
 
-	private void ask(Fingerprint suspect, long sinceMs) {
+	private void askForCompletion(Fingerprint suspect, long sinceMs) {
 		if (this.served.stream().anyMatch((vm) -> vm.servedSince(suspect, sinceMs))) {
-			after(NEWS_MS, () -> this.ledger.onCleared(suspect, this.now));
+			schedule(MESSAGE_DELAY_MS, () -> this.detector.onCleared(suspect, this.now));
 		}
 	}
 
-	private void keepAway(List<Fingerprint> found) {
-		this.kept.addAll(found);
-		this.engines.forEach((engine) -> engine.runs.removeIf((run) -> found.contains(run.request.fingerprint)));
+	private void quarantine(List<Fingerprint> confirmed) {
+		this.quarantined.addAll(confirmed);
+		this.engines.forEach((engine) -> engine.runs.removeIf((run) -> confirmed.contains(run.request.fingerprint)));
 	}
 
-	/** A request under one id. */
+	/** A request with one request id. */
 	private final class Request {
 
 		private final String content;
@@ -161,17 +163,17 @@
 
 		private final String id;
 
-		private final boolean comesAgain;
+		private final boolean retries;
 
 		private final RecentCrashReports vm;
 
 		private int sends;
 
-		Request(String content, String id, boolean comesAgain) {
+		Request(String content, String id, boolean retries) {
 			this.content = content;
 			this.fingerprint = new Fingerprint(content);
 			this.id = id;
-			this.comesAgain = comesAgain;
+			this.retries = retries;
 			this.vm = CrashingFleetSimulation.this.vms
 				.get(CrashingFleetSimulation.this.random.nextInt(CrashingFleetSimulation.this.vms.size()));
 		}
@@ -181,36 +183,37 @@
 				.filter((each) -> each.alive)
 				.min(Comparator
 					.comparingInt((each) -> each.runs.size() * 10 + CrashingFleetSimulation.this.random.nextInt(15)));
-			boolean may = this.sends < SENDS && !CrashingFleetSimulation.this.kept.contains(this.fingerprint);
-			if (may && engine.isPresent()) {
+			boolean canSend = this.sends < MAX_SENDS
+					&& !CrashingFleetSimulation.this.quarantined.contains(this.fingerprint);
+			if (canSend && engine.isPresent()) {
 				this.sends++;
-				countLate(this.content);
-				engine.get().take(new Run(this, CrashingFleetSimulation.this.now));
+				recordLateSend(this.content);
+				engine.get().enqueue(new Run(this, CrashingFleetSimulation.this.now));
 			}
-			else if (this.comesAgain) {
-				after(100, () -> call(this.content, false));
+			else if (this.retries) {
+				schedule(100, () -> submit(this.content, false));
 			}
 		}
 
-		void answered() {
+		void onAnswered() {
 			CrashingFleetSimulation.this.served.get(CrashingFleetSimulation.this.vms.indexOf(this.vm))
 				.add(this.fingerprint, CrashingFleetSimulation.this.now);
 			if (this.vm.removeSuspect(this.fingerprint)) {
-				after(NEWS_MS, () -> CrashingFleetSimulation.this.ledger.onCleared(this.fingerprint,
+				schedule(MESSAGE_DELAY_MS, () -> CrashingFleetSimulation.this.detector.onCleared(this.fingerprint,
 						CrashingFleetSimulation.this.now));
 			}
 		}
 
 	}
 
-	/** A request at an engine. */
+	/** A request that was sent to an engine. */
 	private static final class Run {
 
 		private final Request request;
 
 		private final long sentMs;
 
-		private long begunMs = -1;
+		private long startedMs = -1;
 
 		Run(Request request, long sentMs) {
 			this.request = request;
@@ -219,14 +222,14 @@
 
 	}
 
-	/** An engine, through all its lives. */
+	/** An engine with all its incarnations. */
 	private final class Engine {
 
 		private final String name;
 
 		private final List<Run> runs = new ArrayList<>();
 
-		private int life;
+		private int incarnationNumber;
 
 		private boolean alive = true;
 
@@ -234,60 +237,61 @@
 			this.name = name;
 		}
 
-		void take(Run run) {
+		void enqueue(Run run) {
 			this.runs.add(run);
-			after((long) this.runs.size() * QUEUE_MS, () -> begin(run));
+			schedule((long) this.runs.size() * QUEUE_DELAY_MS, () -> start(run));
 		}
 
-		private void begin(Run run) {
+		private void start(Run run) {
 			if (!this.runs.contains(run)) {
 				return;
 			}
-			run.begunMs = CrashingFleetSimulation.this.now;
+			run.startedMs = CrashingFleetSimulation.this.now;
 			if (run.request.content.startsWith(CRASHING)) {
-				after(1 + CrashingFleetSimulation.this.random.nextInt(CRASH_MS), () -> crash(run));
+				schedule(1 + CrashingFleetSimulation.this.random.nextInt(MAX_CRASH_DELAY_MS), () -> crash(run));
 			}
 			else {
-				after(200 + CrashingFleetSimulation.this.random.nextInt(1_500), () -> answer(run));
+				schedule(200 + CrashingFleetSimulation.this.random.nextInt(1_500), () -> answer(run));
 			}
 		}
 
 		private void crash(Run run) {
 			if (this.runs.contains(run)) {
-				if (CrashingFleetSimulation.this.ends.merge(run.request.content, 1, Integer::sum) == 3) {
-					CrashingFleetSimulation.this.thirdEndMs.put(run.request.content, CrashingFleetSimulation.this.now);
+				if (CrashingFleetSimulation.this.crashes.merge(run.request.content, 1, Integer::sum) == 3) {
+					CrashingFleetSimulation.this.thirdCrashMs.put(run.request.content,
+							CrashingFleetSimulation.this.now);
 				}
-				end();
+				terminate();
 			}
 		}
 
 		private void answer(Run run) {
 			if (this.runs.remove(run)) {
-				run.request.answered();
+				run.request.onAnswered();
 			}
 		}
 
-		void end() {
-			List<Run> cut = new ArrayList<>(this.runs);
+		void terminate() {
+			List<Run> interrupted = new ArrayList<>(this.runs);
 			this.runs.clear();
 			this.alive = false;
-			String incarnation = this.name + "#" + this.life++;
+			String incarnation = this.name + "#" + this.incarnationNumber++;
 			long endedMs = CrashingFleetSimulation.this.now;
 			Map<RecentCrashReports, List<Suspect>> suspects = new HashMap<>();
-			cut.stream()
-				.filter((run) -> run.begunMs < 0 || endedMs - run.begunMs < BEGIN_MS)
+			interrupted.stream()
+				.filter((run) -> run.startedMs < 0 || endedMs - run.startedMs < MAX_SUSPECT_RUN_MS)
 				.forEach((run) -> suspects.computeIfAbsent(run.request.vm, (key) -> new ArrayList<>())
 					.add(new Suspect(run.request.fingerprint, run.request.id, run.sentMs)));
-			suspects.forEach((vm, all) -> after(30 + CrashingFleetSimulation.this.random.nextInt(NEWS_MS),
+			suspects.forEach((vm, all) -> schedule(30 + CrashingFleetSimulation.this.random.nextInt(MESSAGE_DELAY_MS),
 					() -> vm.add(CrashReport.of(incarnation, endedMs, all), CrashingFleetSimulation.this.now)
 						.ifPresent(CrashingFleetSimulation.this::report)));
-			cut.forEach((run) -> run.request.send());
-			after(BACK_MS, () -> this.alive = true);
+			interrupted.forEach((run) -> run.request.send());
+			schedule(RESTART_MS, () -> this.alive = true);
 		}
 
 	}
 
-	private record Event(long atMs, long number, Runnable what) {
+	private record Event(long atMs, long number, Runnable action) {
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/crash/FingerprintTests.java
+++ b/core/src/test/java/org/tallycart/core/crash/FingerprintTests.java
@@ -16,28 +16,31 @@
  */
 public class FingerprintTests {
 
-	private static Fingerprint of(String id, String method, String host, String target, String key, String body) {
+	private static Fingerprint fingerprint(String id, String method, String host, String target, String key,
+			String body) {
 		return Fingerprint
 			.of(new CallerRequest(id, method, target, host, List.of(), body.getBytes(StandardCharsets.UTF_8),
 					Optional.empty(), Optional.of(key), Optional.empty(), List.of(), "", Optional.empty()));
 	}
 
 	@Test
-	void theSameRequestUnderAnotherIdHasTheSameFingerprint() {
-		assertEquals(of("r2", "POST", "h", "/p", "key", "body"), of("r1", "POST", "h", "/p", "key", "body"));
+	void sameRequestWithAnotherIdHasTheSameFingerprint() {
+		assertEquals(fingerprint("r2", "POST", "h", "/p", "key", "body"),
+				fingerprint("r1", "POST", "h", "/p", "key", "body"));
 	}
 
 	@DataProvider
-	static Object[][] others() {
+	static Object[][] differences() {
 		return new Object[][] { { "GET", "h", "/p", "key", "body" }, { "POST", "g", "/p", "key", "body" },
 				{ "POST", "h", "/q", "key", "body" }, { "POST", "h", "/p", "other", "body" },
 				{ "POST", "h", "/p", "key", "other" }, { "POST", "h", "/p", "ke", "ybody" },
 				{ "POST", "h/", "p", "key", "body" } };
 	}
 
-	@Test(dataProvider = "others")
-	void anotherRequestHasAnother(String method, String host, String target, String key, String body) {
-		assertNotEquals(of("r1", method, host, target, key, body), of("r1", "POST", "h", "/p", "key", "body"));
+	@Test(dataProvider = "differences")
+	void differentRequestHasAnotherFingerprint(String method, String host, String target, String key, String body) {
+		assertNotEquals(fingerprint("r1", method, host, target, key, body),
+				fingerprint("r1", "POST", "h", "/p", "key", "body"));
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/crash/QuarantineTests.java
+++ b/core/src/test/java/org/tallycart/core/crash/QuarantineTests.java
@@ -24,7 +24,7 @@
 	}
 
 	@Test
-	void aRequestIsKeptAwayForItsTermAndNoOtherIs() {
+	void requestIsQuarantinedForItsDuration() {
 		Quarantine quarantine = new Quarantine();
 		assertTrue(quarantine.add(A, 1_000));
 		assertFalse(quarantine.add(A, 9_000), "no news");
@@ -34,24 +34,25 @@
 	}
 
 	@Test
-	void requestsThatAreUnderWayHearOfIt() {
+	void requestsInFlightAreNotified() {
 		Quarantine quarantine = new Quarantine();
-		int[] heard = new int[2];
-		Runnable first = () -> heard[0]++;
-		Runnable second = () -> heard[1]++;
+		int[] notified = new int[2];
+		Runnable first = () -> notified[0]++;
+		Runnable second = () -> notified[1]++;
 		quarantine.addInFlight(A, first);
 		quarantine.addInFlight(A, second);
-		quarantine.addInFlight(B, () -> heard[0]--);
+		quarantine.addInFlight(B, () -> notified[0]--);
 		quarantine.removeInFlight(A, second);
 		quarantine.add(A, 1_000);
-		assertEquals(heard, new int[] { 1, 0 });
+		assertEquals(notified, new int[] { 1, 0 });
 	}
 
 	/**
-	 * Pattern: a list that is older than what another VM told, then an operator's hand.
+	 * The store is read before it contains what another VM reported; later an operator
+	 * removes an entry.
 	 */
 	@Test
-	void whatTheStoreDoesNotHoldYetStaysAndWhatItHoldsNoMoreEnds() {
+	void onlyEntriesRemovedFromTheStoreAreReleased() {
 		Quarantine quarantine = new Quarantine();
 		quarantine.add(A, 1_000);
 		assertFalse(quarantine.replaceStored(Map.of()));
@@ -62,9 +63,9 @@
 		assertEquals(quarantine.remainingMs(A, 0), 0);
 	}
 
-	/** Pattern: a record is removed before the list that holds it was read. */
+	/** A stored object is removed before it was read. */
 	@Test
-	void aRequestThatIsLiftedMayBeSent() {
+	void liftedRequestIsNotQuarantined() {
 		Quarantine quarantine = new Quarantine();
 		quarantine.add(A, 1_000);
 		assertTrue(quarantine.lift(A));
@@ -74,7 +75,7 @@
 	}
 
 	@Test
-	void onlyARecordWhoseTermIsOverIsToBeRemoved() {
+	void expireReturnsOnlyStoredRequests() {
 		Quarantine quarantine = new Quarantine();
 		quarantine.replaceStored(Map.of(A, 1_000L));
 		quarantine.add(B, 1_000);
@@ -83,9 +84,9 @@
 		assertEquals(quarantine.all(), Map.of());
 	}
 
-	/** Pattern: a report that comes on two ways, or goes round. */
+	/** Guards against relaying a report in a loop. */
 	@Test
-	void whatWasReportedBeforeIsNoNews() {
+	void suspectsReportedBeforeAreNotNew() {
 		RecentCrashReports reports = new RecentCrashReports();
 		assertEquals(reports.add(report("u", "a1", "b1"), 100).orElseThrow().suspects().size(), 2);
 		assertTrue(reports.add(report("u", "b1"), 110).isEmpty());
@@ -94,7 +95,7 @@
 	}
 
 	@Test
-	void aRequestThatWasAnsweredIsNoSuspectWhateverIsToldLater() {
+	void completedRequestDoesNotBecomeASuspectAgain() {
 		RecentCrashReports reports = new RecentCrashReports();
 		reports.add(report("u", "a1", "b1"), 100);
 		assertTrue(reports.removeSuspect(A));
@@ -104,7 +105,7 @@
 	}
 
 	@Test
-	void oldReportsAreForgottenAndTheirSuspectsWithThem() {
+	void expiredReportsAreRemovedWithTheirSuspects() {
 		RecentCrashReports reports = new RecentCrashReports();
 		reports.add(report("u", "a1"), 100);
 		reports.add(CrashReport.of("v", 70_000, List.of(new Suspect(B, "b1", 0))), 70_000);
@@ -113,7 +114,7 @@
 	}
 
 	@Test
-	void anAnswerCountsFromItsTimeOn() {
+	void servedSinceComparesWithTheCompletionTime() {
 		ServedRequests served = new ServedRequests();
 		served.add(A, 500);
 		assertTrue(served.servedSince(A, 500));
@@ -122,7 +123,7 @@
 	}
 
 	@Test
-	void theOldestAnswersAreForgotten() {
+	void oldestServedRequestsAreRemoved() {
 		ServedRequests served = new ServedRequests();
 		for (int i = 0; i < 3_000; i++) {
 			served.add(new Fingerprint("f" + i), i);
