--- a/core/src/main/java/org/tallycart/core/claim/ClaimHolder.java
+++ b/core/src/main/java/org/tallycart/core/claim/ClaimHolder.java
@@ -1,10 +1,10 @@
 package org.tallycart.core.claim;
 
 /**
- * The one attempt that was granted a key.
+ * The attempt that was granted a key.
  *
- * @param vm the VM of the entry that asked
- * @param attemptId the entry's id of the attempt, unique in the fleet
+ * @param vm VM of the entry that claimed the key
+ * @param attemptId attempt id assigned by the entry, unique in the fleet
  * @since 0.1
  */
 public record ClaimHolder(String vm, String attemptId) {
--- a/core/src/main/java/org/tallycart/core/claim/ClaimTable.java
+++ b/core/src/main/java/org/tallycart/core/claim/ClaimTable.java
@@ -13,12 +13,13 @@
 import org.tallycart.core.outcome.InvariantViolation;
 
 /**
- * Claims of the slots that one process owns.
+ * Table of the claims in the slots owned by one process.
  * <p>
- * Invariants: a key has at most one holder while its claim is kept; a claim is kept until
- * the key is older than the retention window, from which time the key is refused; a
- * sealed slot grants nothing; after a takeover, a key that the earlier owner can have
- * granted is refused. Not thread-safe: confined to the owner's control thread.
+ * Invariants: a key has at most one holder while its claim is retained; a claim is
+ * retained until its key is older than the retention window, and from then on the key is
+ * refused; a sealed slot grants no claims; after a takeover, every key that the previous
+ * owner may have granted is refused. Not thread-safe: confined to the owner's control
+ * thread.
  *
  * @since 0.1
  */
@@ -32,8 +33,8 @@
 
 	private final Map<Integer, OwnedSlot> slots = new HashMap<>();
 
-	private final PriorityQueue<KeptClaim> expiry = new PriorityQueue<>(
-			Comparator.comparingLong((KeptClaim kept) -> kept.key.createdMs()));
+	private final PriorityQueue<ExpiringClaim> expiry = new PriorityQueue<>(
+			Comparator.comparingLong((ExpiringClaim claim) -> claim.key.createdMs()));
 
 	private int slotCount;
 
@@ -44,10 +45,10 @@
 	}
 
 	/**
-	 * Create the table of a process that owns nothing yet.
-	 * @param vm the process's VM
-	 * @param incarnation the process's incarnation
-	 * @param window the window in which keys can be claimed
+	 * Create the table of a process that does not own a slot yet.
+	 * @param vm the VM of the process
+	 * @param incarnation the incarnation of the process
+	 * @param window the time window in which keys can be claimed
 	 * @return the table
 	 */
 	public static ClaimTable create(String vm, long incarnation, IdempotencyKeyWindow window) {
@@ -55,26 +56,28 @@
 	}
 
 	/**
-	 * Adopt a newer slot map: drop slots that went to another owner, add slots that are
-	 * now this process's.
-	 * @param map the map
-	 * @param nowMs the wall clock now
+	 * Apply a newer slot map: remove slots that have another owner now, and add slots
+	 * that are now owned by this process.
+	 * @param map the slot map
+	 * @param nowMs the current wall clock time, in milliseconds
 	 */
 	public void applySlotMap(SlotMap map, long nowMs) {
 		this.slotCount = map.slotCount();
-		Set<Integer> mine = new HashSet<>(map.ownedBy(this.vm, this.incarnation));
-		this.slots.entrySet().removeIf((entry) -> !mine.contains(entry.getKey()) && entry.getValue().confirmed);
-		for (int slot : mine) {
-			SlotOwner owner = InvariantViolation.requirePresent(map.owner(slot), "an owned slot has no owner");
+		Set<Integer> ownedSlots = new HashSet<>(map.ownedBy(this.vm, this.incarnation));
+		this.slots.entrySet().removeIf((entry) -> !ownedSlots.contains(entry.getKey()) && entry.getValue().confirmed);
+		for (int slot : ownedSlots) {
+			SlotOwner owner = InvariantViolation.requirePresent(map.owner(slot),
+					"slot " + slot + " of this process has no owner in the slot map");
 			OwnedSlot owned = this.slots.get(slot);
 			if (owned == null || !owned.confirmed && !owned.matches(owner)) {
-				// Claims of the earlier owner are lost: refuse whatever it can have
-				// granted.
-				boolean first = owner.term() == 1;
-				owned = new OwnedSlot(first ? Long.MIN_VALUE : nowMs + 2 * this.window.skewMs());
+				// The claims of the previous owner are lost: refuse every key that it may
+				// have granted.
+				boolean firstOwner = owner.term() == 1;
+				owned = new OwnedSlot(firstOwner ? Long.MIN_VALUE : nowMs + 2 * this.window.skewMs());
 				this.slots.put(slot, owned);
 			}
-			InvariantViolation.check(owner.term() >= owned.term, "the term of slot " + slot + " fell");
+			InvariantViolation.check(owner.term() >= owned.term,
+					"the term of slot " + slot + " decreased from " + owned.term + " to " + owner.term());
 			owned.term = owner.term();
 			if (!owned.confirmed) {
 				owned.confirmed = true;
@@ -84,26 +87,27 @@
 	}
 
 	/**
-	 * Answer a claim.
+	 * Process a claim.
 	 * @param key the key
-	 * @param asker who asks
-	 * @param knownTerm the highest term of the slot that the asker has seen
-	 * @param nowMs the wall clock now
-	 * @return the answer
+	 * @param claimant the attempt that claims the key
+	 * @param knownTerm the highest term of the slot known to the claimant
+	 * @param nowMs the current wall clock time, in milliseconds
+	 * @return the reply
 	 */
-	public ClaimReply claim(IdempotencyKey key, ClaimHolder asker, long knownTerm, long nowMs) {
+	public ClaimReply claim(IdempotencyKey key, ClaimHolder claimant, long knownTerm, long nowMs) {
 		OwnedSlot owned = (this.slotCount > 0) ? this.slots.get(key.slot(this.slotCount)) : null;
 		if (owned == null || owned.sealed || !owned.confirmed) {
 			return ClaimReply.of(ClaimReply.Status.NOT_OWNER, 0);
 		}
 		if (knownTerm > owned.term) {
-			// Another process owns the slot already: this one must not grant again.
+			// Another process already owns the slot: this one must not grant claims any
+			// more.
 			owned.sealed = true;
 			return ClaimReply.of(ClaimReply.Status.NOT_OWNER, owned.term);
 		}
 		ClaimRecord held = owned.claims.get(key.text());
 		if (held != null) {
-			return answerHeld(held, asker, owned.term);
+			return replyToHeldKey(held, claimant, owned.term);
 		}
 		if (nowMs - key.createdMs() > this.window.retentionMs()) {
 			return ClaimReply.of(ClaimReply.Status.EXPIRED, owned.term);
@@ -111,30 +115,30 @@
 		if (key.createdMs() <= owned.refuseUntilMs) {
 			return ClaimReply.of(ClaimReply.Status.BEFORE_TAKEOVER, owned.term);
 		}
-		put(owned, new ClaimRecord(key, asker, null));
+		put(owned, new ClaimRecord(key, claimant, null));
 		return ClaimReply.of(ClaimReply.Status.GRANTED, owned.term);
 	}
 
-	private ClaimReply answerHeld(ClaimRecord held, ClaimHolder asker, long term) {
+	private ClaimReply replyToHeldKey(ClaimRecord held, ClaimHolder claimant, long term) {
 		if (held.result() != null) {
 			return new ClaimReply(ClaimReply.Status.FINISHED, term, held.holder(), held.result());
 		}
-		// The same attempt asking again has had its answer lost on the way.
-		ClaimReply.Status status = held.holder().equals(asker) ? ClaimReply.Status.GRANTED : ClaimReply.Status.HELD;
+		// A repeated claim by the same attempt means that the reply was lost.
+		ClaimReply.Status status = held.holder().equals(claimant) ? ClaimReply.Status.GRANTED : ClaimReply.Status.HELD;
 		return new ClaimReply(status, term, held.holder(), null);
 	}
 
 	private void put(OwnedSlot owned, ClaimRecord claim) {
 		owned.claims.put(claim.key().text(), claim);
-		this.expiry.add(new KeptClaim(owned, claim.key()));
+		this.expiry.add(new ExpiringClaim(owned, claim.key()));
 	}
 
 	/**
 	 * Record the result of the attempt that holds a key.
 	 * @param key the key
 	 * @param holder the holder
-	 * @param result the result, to be told to later askers
-	 * @return whether the holder does hold the key
+	 * @param result the result, to be returned to later claimants
+	 * @return true if the holder holds the key
 	 */
 	public boolean finish(IdempotencyKey key, ClaimHolder holder, byte[] result) {
 		OwnedSlot owned = (this.slotCount > 0) ? this.slots.get(key.slot(this.slotCount)) : null;
@@ -147,10 +151,10 @@
 	}
 
 	/**
-	 * Release a key whose holder has not begun, and never will.
+	 * Release a key whose holder has not started and never will.
 	 * @param key the key
-	 * @param holder the holder, which must itself have given up the attempt
-	 * @return whether the key was released
+	 * @param holder the holder, which must have abandoned the attempt
+	 * @return true if the key was released
 	 */
 	public boolean release(IdempotencyKey key, ClaimHolder holder) {
 		OwnedSlot owned = (this.slotCount > 0) ? this.slots.get(key.slot(this.slotCount)) : null;
@@ -163,29 +167,29 @@
 	}
 
 	/**
-	 * Seal slots for a handover: from now on they grant nothing here.
-	 * @param wanted the slots
-	 * @return one handover for each wanted slot that is owned here
+	 * Seal slots for a handover, so that this process no longer grants claims in them.
+	 * @param requested the slots
+	 * @return one handover for each requested slot that this process owns
 	 */
-	public List<SlotHandover> seal(Collection<Integer> wanted) {
-		List<SlotHandover> moved = new ArrayList<>();
-		for (int slot : wanted) {
+	public List<SlotHandover> seal(Collection<Integer> requested) {
+		List<SlotHandover> handovers = new ArrayList<>();
+		for (int slot : requested) {
 			OwnedSlot owned = this.slots.get(slot);
 			if (owned != null && owned.confirmed) {
 				owned.sealed = true;
-				moved.add(new SlotHandover(slot, owned.term + 1, owned.refuseUntilMs, 0,
+				handovers.add(new SlotHandover(slot, owned.term + 1, owned.refuseUntilMs, 0,
 						List.copyOf(owned.claims.values())));
 			}
 		}
-		return moved;
+		return handovers;
 	}
 
 	/**
-	 * Undo a seal after the handover was refused for certain.
-	 * @param wanted the slots
+	 * Undo a seal after the handover has definitely been rejected.
+	 * @param requested the slots
 	 */
-	public void unseal(Collection<Integer> wanted) {
-		for (int slot : wanted) {
+	public void unseal(Collection<Integer> requested) {
+		for (int slot : requested) {
 			OwnedSlot owned = this.slots.get(slot);
 			if (owned != null) {
 				owned.sealed = false;
@@ -194,16 +198,17 @@
 	}
 
 	/**
-	 * Stage a slot that is being handed to this process. It grants nothing until
-	 * {@link #applySlotMap} sees a map in which this very handover took effect.
+	 * Stage a slot that is being handed over to this process. It grants no claims until
+	 * {@link #applySlotMap} is called with a map that contains this handover.
 	 * @param handover the slot and its claims
-	 * @return whether the slot was staged; false if this process owns it already, or if a
-	 * later try of the same handover was staged before
+	 * @return true if the slot was staged; false if this process already owns it, or if a
+	 * later attempt of the same handover was staged before
 	 */
 	public boolean stage(SlotHandover handover) {
-		OwnedSlot present = this.slots.get(handover.slot());
-		boolean late = present != null && present.term == handover.term() && present.sequence > handover.sequence();
-		if (late || (present != null && present.confirmed)) {
+		OwnedSlot existing = this.slots.get(handover.slot());
+		boolean outdated = existing != null && existing.term == handover.term()
+				&& existing.sequence > handover.sequence();
+		if (outdated || (existing != null && existing.confirmed)) {
 			return false;
 		}
 		OwnedSlot owned = new OwnedSlot(handover.refuseUntilMs());
@@ -217,26 +222,26 @@
 	}
 
 	/**
-	 * Forget claims of keys that are past the retention window by every clock of the
-	 * fleet. Such keys are refused by their age, also by a later owner whose clock is
-	 * behind.
-	 * @param nowMs the wall clock now
+	 * Remove claims of keys that are older than the retention window on every clock of
+	 * the fleet. Such keys are refused because of their age, even by a later owner whose
+	 * clock is behind.
+	 * @param nowMs the current wall clock time, in milliseconds
 	 */
 	public void expire(long nowMs) {
 		while (!this.expiry.isEmpty()
 				&& nowMs - oldestCreatedMs() > this.window.retentionMs() + 2 * this.window.skewMs()) {
-			KeptClaim old = this.expiry.remove();
-			old.slot.claims.remove(old.key.text());
+			ExpiringClaim expired = this.expiry.remove();
+			expired.slot.claims.remove(expired.key.text());
 		}
 	}
 
 	private long oldestCreatedMs() {
-		KeptClaim oldest = this.expiry.peek();
+		ExpiringClaim oldest = this.expiry.peek();
 		return (oldest != null) ? oldest.key.createdMs() : Long.MAX_VALUE;
 	}
 
 	/**
-	 * Return the number of claims kept.
+	 * Return the number of retained claims.
 	 * @return the number
 	 */
 	public int size() {
@@ -244,7 +249,7 @@
 	}
 
 	/**
-	 * Return the number of slots that grant claims here.
+	 * Return the number of slots in which this process grants claims.
 	 * @return the number
 	 */
 	public int openSlotCount() {
@@ -275,8 +280,8 @@
 
 	}
 
-	/** A claim waiting to grow old. */
-	private record KeptClaim(OwnedSlot slot, IdempotencyKey key) {
+	/** A claim in the expiry queue, ordered by key creation time. */
+	private record ExpiringClaim(OwnedSlot slot, IdempotencyKey key) {
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/claim/IdempotencyKey.java
+++ b/core/src/main/java/org/tallycart/core/claim/IdempotencyKey.java
@@ -5,12 +5,11 @@
 import io.vavr.control.Either;
 
 /**
- * Idempotency key chosen by a caller: a UUID of version 7, which carries its own creation
- * time.
+ * Idempotency key chosen by a caller: a version 7 UUID, which contains its creation time.
  * <p>
  * Immutable and thread-safe.
  *
- * @param text the canonical text
+ * @param text canonical text of the UUID
  * @param createdMs creation time, in milliseconds since the epoch
  * @since 0.1
  */
@@ -22,8 +21,8 @@
 
 	/**
 	 * Parse a key.
-	 * @param text the text of a header
-	 * @return the key, or what is wrong with it
+	 * @param text the value of a header field
+	 * @return the key, or an error message
 	 */
 	public static Either<String, IdempotencyKey> parse(String text) {
 		try {
@@ -39,7 +38,7 @@
 	}
 
 	/**
-	 * Return the slot that the key falls into.
+	 * Return the slot of the key.
 	 * @param slotCount the number of slots
 	 * @return a slot from 0 to {@code slotCount - 1}
 	 */
--- a/core/src/main/java/org/tallycart/core/claim/SlotHandover.java
+++ b/core/src/main/java/org/tallycart/core/claim/SlotHandover.java
@@ -3,12 +3,14 @@
 import java.util.List;
 
 /**
- * A sealed slot on its way to a new owner.
+ * A sealed slot that is being transferred to a new owner.
  *
  * @param slot the slot
- * @param term the term the new owner will have
- * @param refuseUntilMs keys created up to this time are refused
- * @param sequence rises with each handover that the earlier owner tries
+ * @param term term of the new owner
+ * @param refuseUntilMs creation time up to which keys are refused, in milliseconds since
+ * the epoch
+ * @param sequence number of the handover attempt of the previous owner; increases with
+ * each attempt
  * @param claims the claims of the slot
  * @since 0.1
  */
--- a/core/src/main/java/org/tallycart/core/claim/SlotMap.java
+++ b/core/src/main/java/org/tallycart/core/claim/SlotMap.java
@@ -11,10 +11,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which process owns each slot. Kept as one object of the platform's service and changed
- * only by conditional update.
+ * Assignment of slots to owning processes. Stored as one object of the platform's service
+ * and changed only by conditional update.
  * <p>
- * Invariant: in successive versions a slot's term never falls. Immutable and thread-safe.
+ * Invariant: the term of a slot never decreases in successive versions. Immutable and
+ * thread-safe.
  *
  * @since 0.1
  */
@@ -31,7 +32,7 @@
 
 	/**
 	 * Create a map in which no slot has an owner.
-	 * @param slotCount the number of slots, fixed for the life of a fleet
+	 * @param slotCount the number of slots, fixed for the lifetime of a fleet
 	 * @return the map
 	 */
 	public static SlotMap empty(int slotCount) {
@@ -39,11 +40,11 @@
 	}
 
 	/**
-	 * Return a copy in which some slots have a new owner with a higher term.
+	 * Return a copy in which the given slots have a new owner with a higher term.
 	 * @param slots the slots
-	 * @param vm the new owner's VM
-	 * @param incarnation the new owner's incarnation
-	 * @param handedOver whether the claims came along
+	 * @param vm the VM of the new owner
+	 * @param incarnation the incarnation of the new owner
+	 * @param handedOver whether the claims were transferred
 	 * @return the changed copy
 	 */
 	public SlotMap assign(Iterable<Integer> slots, String vm, long incarnation, boolean handedOver) {
@@ -75,9 +76,9 @@
 
 	/**
 	 * Return the slots that a process owns.
-	 * @param vm its VM
-	 * @param incarnation its incarnation
-	 * @return the slots, ascending
+	 * @param vm the VM of the process
+	 * @param incarnation the incarnation of the process
+	 * @return the slots, in ascending order
 	 */
 	public List<Integer> ownedBy(String vm, long incarnation) {
 		List<Integer> slots = new ArrayList<>();
@@ -90,8 +91,8 @@
 	}
 
 	/**
-	 * Write the map as text: a header line, then one line for each run of slots with the
-	 * same owner.
+	 * Encode the map as text: a header line, then one line for each range of slots with
+	 * the same owner.
 	 * @return the text
 	 */
 	public String encode() {
@@ -114,9 +115,9 @@
 	}
 
 	/**
-	 * Read a map written by {@link #encode()}.
+	 * Decode a map written by {@link #encode()}.
 	 * @param text the text
-	 * @return the map, or what is wrong with the text
+	 * @return the map, or an error message
 	 */
 	public static Either<String, SlotMap> decode(String text) {
 		String[] lines = text.split("\n");
@@ -134,7 +135,7 @@
 			return Either.right(new SlotMap(slotCount, owners));
 		}
 		catch (NumberFormatException | IndexOutOfBoundsException ex) {
-			return Either.left("slot map is not readable: " + ex.getMessage());
+			return Either.left("cannot parse the slot map: " + ex.getMessage());
 		}
 	}
 
--- a/core/src/main/java/org/tallycart/core/claim/SubmissionId.java
+++ b/core/src/main/java/org/tallycart/core/claim/SubmissionId.java
@@ -1,13 +1,13 @@
 package org.tallycart.core.claim;
 
 /**
- * Names one submission of a key: the caller's request id, which may stand for several
- * submissions, and a part that is unique in the fleet.
+ * Identifies one submission of a key: the caller's request id, which several submissions
+ * may share, and a part that is unique in the fleet.
  * <p>
  * Immutable and thread-safe.
  *
- * @param requestId the request
- * @param unique the unique part
+ * @param requestId request id of the caller
+ * @param unique part that is unique in the fleet
  * @since 0.1
  */
 public record SubmissionId(String requestId, String unique) {
@@ -15,7 +15,7 @@
 	private static final char SEPARATOR = '/';
 
 	/**
-	 * Return the id as it travels.
+	 * Return the text form of the id, as sent between processes.
 	 * @return the text
 	 */
 	public String text() {
@@ -23,9 +23,9 @@
 	}
 
 	/**
-	 * Return the request that a submission's id belongs to.
-	 * @param text the id as it travels
-	 * @return the request's id
+	 * Return the request id of a submission id.
+	 * @param text the text form of a submission id
+	 * @return the request id
 	 */
 	public static String requestIdOf(String text) {
 		int end = text.lastIndexOf(SEPARATOR);
--- a/core/src/main/java/org/tallycart/core/claim/package-info.java
+++ b/core/src/main/java/org/tallycart/core/claim/package-info.java
@@ -1,6 +1,6 @@
 /**
- * At-most-once execution: idempotency keys, slots, terms and the claim table of a slot's
- * owner.
+ * At-most-once execution: idempotency keys, slots with owners and terms, and the claim
+ * table of a slot owner.
  */
 @NullMarked
 package org.tallycart.core.claim;
--- a/core/src/test/java/org/tallycart/core/claim/ClaimProtocolSimulation.java
+++ b/core/src/test/java/org/tallycart/core/claim/ClaimProtocolSimulation.java
@@ -12,10 +12,10 @@
 import org.tallycart.core.outcome.InvariantViolation;
 
 /**
- * One seeded run of the claim protocol: owners, entries, callers and the platform's slot
- * map, with messages that are delayed, reordered and lost, processes that die, restart,
- * freeze and wake with old views, and keys that grow old. Each step checks that no key
- * has run twice and that a submission told NOT_RUN never runs.
+ * Simulates the claim protocol with a seed: owners, entries, callers and the platform's
+ * slot map, with messages that are delayed, reordered and lost, processes that crash,
+ * restart and act on outdated slot maps, and keys that expire. Each execution checks that
+ * no key is executed twice and that a submission reported as NOT_RUN is never executed.
  */
 final class ClaimProtocolSimulation {
 
@@ -39,7 +39,7 @@
 
 	private final List<Submission> submissions = new ArrayList<>();
 
-	private final Set<String> gone = new HashSet<>();
+	private final Set<String> removedVms = new HashSet<>();
 
 	private SlotMap platform = SlotMap.empty(SLOTS);
 
@@ -76,8 +76,8 @@
 		Node node = pick(this.nodes);
 		switch (this.random.nextInt(16)) {
 			case 0 -> submitNew();
-			case 1, 2 -> submitAgain();
-			case 3 -> giveUp();
+			case 1, 2 -> resubmit();
+			case 3 -> abandon();
 			case 4 -> node.refresh();
 			case 5 -> node.takeOver();
 			case 6 -> node.handOver(pick(this.nodes));
@@ -111,38 +111,39 @@
 			node.restart();
 		}
 		else {
-			// The platform ends the VM, and another takes its place under a new name.
-			this.gone.add(node.vm);
+			// The platform removes the VM, and a VM with a new name replaces it.
+			this.removedVms.add(node.vm);
 			this.nodes.remove(node);
-			Node fresh = new Node(node.vm + "'", this.random.nextInt((int) SKEW_MS + 1));
-			this.nodes.add(fresh);
-			fresh.restart();
+			Node replacement = new Node(node.vm + "'", this.random.nextInt((int) SKEW_MS + 1));
+			this.nodes.add(replacement);
+			replacement.restart();
 		}
 	}
 
 	private void submitNew() {
 		Node node = pick(this.nodes);
-		long created = node.wallMs() - this.random.nextInt(50) + this.random.nextInt((int) SKEW_MS);
-		UUID uuid = new UUID((created << 16) | 0x7000 | this.random.nextInt(0x1000), this.random.nextLong());
+		long createdMs = node.wallMs() - this.random.nextInt(50) + this.random.nextInt((int) SKEW_MS);
+		UUID uuid = new UUID((createdMs << 16) | 0x7000 | this.random.nextInt(0x1000), this.random.nextLong());
 		IdempotencyKey key = IdempotencyKey.parse(uuid.toString()).get();
 		this.keys.add(key);
 		new Submission(node, key, true).start();
 	}
 
-	private void submitAgain() {
+	private void resubmit() {
 		if (!this.keys.isEmpty()) {
 			new Submission(pick(this.nodes), pick(this.keys), false).start();
 		}
 	}
 
-	private void giveUp() {
+	private void abandon() {
 		if (!this.submissions.isEmpty()) {
-			pick(this.submissions).giveUp();
+			pick(this.submissions).abandon();
 		}
 	}
 
 	/**
-	 * A VM with its steward's table and the views that its steward and its entry have.
+	 * A VM with the claim table of its steward and the slot map that its steward and its
+	 * entry share.
 	 */
 	private final class Node {
 
@@ -212,9 +213,9 @@
 			List<Integer> slots = new ArrayList<>();
 			for (int slot = 0; slot < SLOTS; slot++) {
 				SlotOwner owner = this.view.owner(slot);
-				boolean mineBefore = owner != null && owner.vm().equals(this.vm)
+				boolean ownedBefore = owner != null && owner.vm().equals(this.vm)
 						&& owner.incarnation() < this.incarnation;
-				if (owner == null || mineBefore || ClaimProtocolSimulation.this.gone.contains(owner.vm())) {
+				if (owner == null || ownedBefore || ClaimProtocolSimulation.this.removedVms.contains(owner.vm())) {
 					slots.add(slot);
 				}
 			}
@@ -238,24 +239,24 @@
 			long from = this.incarnation;
 			long to = target.incarnation;
 			this.pendingWrite = () -> {
-				// Timed out before an answer: nothing names the target yet.
+				// Timed out before a reply: the slot map does not name the target yet.
 				this.pendingWrite = null;
 				this.table.unseal(moved);
 			};
 			ClaimProtocolSimulation.this.network.add(() -> {
 				if (target.alive && target.incarnation == to && sealed.stream().allMatch(target.table::stage)) {
-					ClaimProtocolSimulation.this.network.add(() -> staged(target, to, from, attempt, moved));
+					ClaimProtocolSimulation.this.network.add(() -> onStaged(target, to, from, attempt, moved));
 				}
 			});
 		}
 
-		private void staged(Node target, long to, long from, long attempt, List<Integer> moved) {
+		private void onStaged(Node target, long to, long from, long attempt, List<Integer> moved) {
 			if (!this.alive || this.incarnation != from || this.pendingWrite == null || attempt != this.sequence) {
 				return;
 			}
 			boolean applied = write(this.view.assign(moved, target.vm, to, true));
 			this.pendingWrite = () -> {
-				// The answer may be lost: known only once the map has been read.
+				// The reply may be lost: the outcome is known once the map has been read.
 				this.pendingWrite = null;
 				if (!applied) {
 					this.table.unseal(moved);
@@ -280,7 +281,7 @@
 
 	}
 
-	/** One submission of a key at one entry. */
+	/** A submission of a key at an entry. */
 	private final class Submission {
 
 		private final Node node;
@@ -289,19 +290,19 @@
 
 		private final IdempotencyKey key;
 
-		private final boolean first;
+		private final boolean firstSubmission;
 
 		private final String id = "s" + ClaimProtocolSimulation.this.submissions.size();
 
-		private boolean over;
+		private boolean ended;
 
-		private boolean toldNotRun;
+		private boolean reportedNotRun;
 
-		Submission(Node node, IdempotencyKey key, boolean first) {
+		Submission(Node node, IdempotencyKey key, boolean firstSubmission) {
 			this.node = node;
 			this.incarnation = node.incarnation;
 			this.key = key;
-			this.first = first;
+			this.firstSubmission = firstSubmission;
 		}
 
 		ClaimHolder holder() {
@@ -311,13 +312,13 @@
 		void start() {
 			ClaimProtocolSimulation.this.submissions.add(this);
 			if (WINDOW.check(this.key, this.node.wallMs()).isPresent()) {
-				this.over = true;
+				this.ended = true;
 				return;
 			}
-			ask();
+			sendClaim();
 		}
 
-		void ask() {
+		void sendClaim() {
 			int slot = this.key.slot(SLOTS);
 			SlotOwner owner = this.node.view.owner(slot);
 			if (owner == null) {
@@ -335,24 +336,24 @@
 
 		void onReply(ClaimReply reply) {
 			boolean dead = !this.node.alive || this.node.incarnation != this.incarnation;
-			if (dead || this.over) {
+			if (dead || this.ended) {
 				return;
 			}
 			long highest = this.node.highestTerms.merge(this.key.slot(SLOTS), reply.term(), Math::max);
 			if (reply.status() == ClaimReply.Status.GRANTED && reply.term() >= highest) {
-				runIt();
+				execute();
 			}
 			else if (reply.status() == ClaimReply.Status.NOT_OWNER || reply.status() == ClaimReply.Status.HELD) {
 				this.node.refresh();
-				ask();
+				sendClaim();
 			}
 		}
 
-		private void runIt() {
-			this.over = true;
+		private void execute() {
+			this.ended = true;
 			int count = ClaimProtocolSimulation.this.runs.merge(this.key.text(), 1, Integer::sum);
 			InvariantViolation.check(count == 1, "key " + this.key.text() + " ran twice");
-			InvariantViolation.check(!this.toldNotRun, "a submission told NOT_RUN ran");
+			InvariantViolation.check(!this.reportedNotRun, "a submission told NOT_RUN ran");
 			ClaimProtocolSimulation.this.completed++;
 			SlotOwner owner = this.node.view.owner(this.key.slot(SLOTS));
 			for (Node other : ClaimProtocolSimulation.this.nodes) {
@@ -362,12 +363,12 @@
 			}
 		}
 
-		void giveUp() {
-			if (this.over) {
+		void abandon() {
+			if (this.ended) {
 				return;
 			}
-			this.over = true;
-			this.toldNotRun = this.first;
+			this.ended = true;
+			this.reportedNotRun = this.firstSubmission;
 			SlotOwner owner = this.node.view.owner(this.key.slot(SLOTS));
 			for (Node other : ClaimProtocolSimulation.this.nodes) {
 				if (owner != null && other.vm.equals(owner.vm())) {
--- a/core/src/test/java/org/tallycart/core/claim/ClaimProtocolSimulationTests.java
+++ b/core/src/test/java/org/tallycart/core/claim/ClaimProtocolSimulationTests.java
@@ -6,7 +6,8 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Long seeded runs of the claim protocol; see {@link ClaimProtocolSimulation}.
+ * Runs {@link ClaimProtocolSimulation} with many seeds. Guards against executing a key
+ * twice.
  */
 public class ClaimProtocolSimulationTests {
 
@@ -20,17 +21,17 @@
 	}
 
 	@Test(dataProvider = "blocks")
-	void noKeyRunsTwiceWhateverTheOrder(int block) {
+	void noKeyIsExecutedTwice(int block) {
 		int completed = 0;
 		for (long seed = (long) block * RUNS_PER_BLOCK; seed < (block + 1L) * RUNS_PER_BLOCK; seed++) {
-			ClaimProtocolSimulation run = new ClaimProtocolSimulation(seed);
+			ClaimProtocolSimulation simulation = new ClaimProtocolSimulation(seed);
 			try {
-				run.run(STEPS);
+				simulation.run(STEPS);
 			}
 			catch (Error ex) {
 				throw new AssertionError("seed " + seed + ": " + ex.getMessage(), ex);
 			}
-			completed += run.completed();
+			completed += simulation.completed();
 		}
 		assertTrue(completed > RUNS_PER_BLOCK, "safety by refusing everything is no success: " + completed);
 	}
--- a/core/src/test/java/org/tallycart/core/claim/ClaimTableTests.java
+++ b/core/src/test/java/org/tallycart/core/claim/ClaimTableTests.java
@@ -20,9 +20,9 @@
 
 	private static final IdempotencyKeyWindow WINDOW = new IdempotencyKeyWindow(10_000, 100);
 
-	private static final ClaimHolder ALICE = new ClaimHolder("vm-1", "a");
+	private static final ClaimHolder FIRST_HOLDER = new ClaimHolder("vm-1", "a");
 
-	private static final ClaimHolder BOB = new ClaimHolder("vm-2", "b");
+	private static final ClaimHolder SECOND_HOLDER = new ClaimHolder("vm-2", "b");
 
 	private static final long NOW = 1_000_000;
 
@@ -42,38 +42,38 @@
 	}
 
 	@Test
-	void theFirstClaimWinsAndALaterOneIsToldWhoHolds() {
+	void firstClaimIsGrantedAndLaterClaimReturnsTheHolder() {
 		ClaimTable table = owner(ownedMap());
-		assertEquals(table.claim(key(NOW), ALICE, 1, NOW).status(), Status.GRANTED);
-		ClaimReply second = table.claim(key(NOW), BOB, 1, NOW);
+		assertEquals(table.claim(key(NOW), FIRST_HOLDER, 1, NOW).status(), Status.GRANTED);
+		ClaimReply second = table.claim(key(NOW), SECOND_HOLDER, 1, NOW);
 		assertEquals(second.status(), Status.HELD);
-		assertEquals(second.holder(), ALICE);
+		assertEquals(second.holder(), FIRST_HOLDER);
 	}
 
 	@Test
-	void theSameAttemptMayAskAgainAfterALostAnswer() {
+	void repeatedClaimOfTheSameAttemptIsGranted() {
 		ClaimTable table = owner(ownedMap());
-		table.claim(key(NOW), ALICE, 1, NOW);
-		assertEquals(table.claim(key(NOW), ALICE, 1, NOW).status(), Status.GRANTED);
+		table.claim(key(NOW), FIRST_HOLDER, 1, NOW);
+		assertEquals(table.claim(key(NOW), FIRST_HOLDER, 1, NOW).status(), Status.GRANTED);
 	}
 
 	@Test
-	void aFinishedKeyGivesItsResultToEveryLaterAsker() {
+	void finishedKeyReturnsItsResultToLaterClaimants() {
 		ClaimTable table = owner(ownedMap());
-		table.claim(key(NOW), ALICE, 1, NOW);
-		assertFalse(table.finish(key(NOW), BOB, new byte[] { 1 }));
-		assertTrue(table.finish(key(NOW), ALICE, new byte[] { 7 }));
-		ClaimReply reply = table.claim(key(NOW), BOB, 1, NOW);
+		table.claim(key(NOW), FIRST_HOLDER, 1, NOW);
+		assertFalse(table.finish(key(NOW), SECOND_HOLDER, new byte[] { 1 }));
+		assertTrue(table.finish(key(NOW), FIRST_HOLDER, new byte[] { 7 }));
+		ClaimReply reply = table.claim(key(NOW), SECOND_HOLDER, 1, NOW);
 		assertEquals(reply.status(), Status.FINISHED);
 		assertEquals(reply.result(), new byte[] { 7 });
-		assertFalse(table.release(key(NOW), ALICE), "a finished key is never released");
+		assertFalse(table.release(key(NOW), FIRST_HOLDER), "a finished key is never released");
 	}
 
 	@Test
-	void anOwnerThatHearsOfAHigherTermGrantsNothingAgain() {
+	void ownerThatReceivesAHigherTermGrantsNoMoreClaims() {
 		ClaimTable table = owner(ownedMap());
-		assertEquals(table.claim(key(NOW), ALICE, 2, NOW).status(), Status.NOT_OWNER);
-		assertEquals(table.claim(key(NOW), ALICE, 1, NOW).status(), Status.NOT_OWNER);
+		assertEquals(table.claim(key(NOW), FIRST_HOLDER, 2, NOW).status(), Status.NOT_OWNER);
+		assertEquals(table.claim(key(NOW), FIRST_HOLDER, 1, NOW).status(), Status.NOT_OWNER);
 	}
 
 	@DataProvider
@@ -83,62 +83,62 @@
 	}
 
 	@Test(dataProvider = "agesAfterTakeover")
-	void afterATakeoverOnlyKeysThatTheEarlierOwnerCannotHaveGrantedAreGranted(long createdAfter, Status expected) {
-		SlotMap taken = SlotMap.empty(1).assign(List.of(0), "vm-9", 1, false).assign(List.of(0), "vm-1", 1, false);
-		assertEquals(owner(taken).claim(key(NOW + createdAfter), ALICE, 2, NOW + createdAfter).status(), expected);
+	void takeoverRefusesKeysThatThePreviousOwnerMayHaveGranted(long createdAfter, Status expected) {
+		SlotMap map = SlotMap.empty(1).assign(List.of(0), "vm-9", 1, false).assign(List.of(0), "vm-1", 1, false);
+		assertEquals(owner(map).claim(key(NOW + createdAfter), FIRST_HOLDER, 2, NOW + createdAfter).status(), expected);
 	}
 
 	@Test
-	void aHandoverBringsTheClaimsAlong() {
+	void handoverTransfersTheClaims() {
 		ClaimTable from = owner(ownedMap());
-		from.claim(key(NOW), ALICE, 1, NOW);
+		from.claim(key(NOW), FIRST_HOLDER, 1, NOW);
 		ClaimTable to = ClaimTable.create("vm-2", 5, WINDOW);
 		from.seal(List.of(0)).forEach(to::stage);
-		assertEquals(from.claim(key(NOW + 1), BOB, 1, NOW).status(), Status.NOT_OWNER);
-		assertEquals(to.claim(key(NOW), BOB, 1, NOW).status(), Status.NOT_OWNER);
+		assertEquals(from.claim(key(NOW + 1), SECOND_HOLDER, 1, NOW).status(), Status.NOT_OWNER);
+		assertEquals(to.claim(key(NOW), SECOND_HOLDER, 1, NOW).status(), Status.NOT_OWNER);
 		to.applySlotMap(ownedMap().assign(List.of(0), "vm-2", 5, true), NOW);
-		assertEquals(to.claim(key(NOW), BOB, 2, NOW).status(), Status.HELD);
-		assertEquals(to.claim(key(NOW + 1), BOB, 2, NOW).status(), Status.GRANTED);
+		assertEquals(to.claim(key(NOW), SECOND_HOLDER, 2, NOW).status(), Status.HELD);
+		assertEquals(to.claim(key(NOW + 1), SECOND_HOLDER, 2, NOW).status(), Status.GRANTED);
 	}
 
 	@Test
-	void stagedClaimsOfAHandoverThatDidNotHappenAreNeverTrusted() {
+	void stagedClaimsOfARejectedHandoverAreDiscarded() {
 		ClaimTable from = owner(ownedMap());
 		ClaimTable to = ClaimTable.create("vm-2", 5, WINDOW);
 		from.seal(List.of(0)).forEach(to::stage);
 		from.unseal(List.of(0));
-		from.claim(key(NOW), ALICE, 1, NOW);
+		from.claim(key(NOW), FIRST_HOLDER, 1, NOW);
 		to.applySlotMap(ownedMap().assign(List.of(0), "vm-2", 5, false), NOW);
-		assertEquals(to.claim(key(NOW), BOB, 2, NOW).status(), Status.BEFORE_TAKEOVER);
+		assertEquals(to.claim(key(NOW), SECOND_HOLDER, 2, NOW).status(), Status.BEFORE_TAKEOVER);
 	}
 
 	@Test
-	void aHandoverCallThatComesLateChangesNothing() {
+	void lateHandoverCallIsIgnored() {
 		ClaimTable to = ClaimTable.create("vm-2", 5, WINDOW);
-		ClaimRecord claim = new ClaimRecord(key(NOW), ALICE, null);
+		ClaimRecord claim = new ClaimRecord(key(NOW), FIRST_HOLDER, null);
 		assertTrue(to.stage(new SlotHandover(0, 2, Long.MIN_VALUE, 2, List.of(claim))));
 		assertFalse(to.stage(new SlotHandover(0, 2, Long.MIN_VALUE, 1, List.of())));
 		to.applySlotMap(ownedMap().assign(List.of(0), "vm-2", 5, true), NOW);
-		assertEquals(to.claim(key(NOW), BOB, 2, NOW).status(), Status.HELD);
+		assertEquals(to.claim(key(NOW), SECOND_HOLDER, 2, NOW).status(), Status.HELD);
 	}
 
 	@Test
-	void claimsStagedBeforeAnySlotMapIsKnownCanGrowOld() {
+	void claimsStagedBeforeTheFirstSlotMapCanExpire() {
 		ClaimTable to = ClaimTable.create("vm-2", 5, WINDOW);
-		to.stage(new SlotHandover(0, 2, Long.MIN_VALUE, 1, List.of(new ClaimRecord(key(NOW), ALICE, null))));
+		to.stage(new SlotHandover(0, 2, Long.MIN_VALUE, 1, List.of(new ClaimRecord(key(NOW), FIRST_HOLDER, null))));
 		to.expire(NOW + 1_000_000);
 		assertEquals(to.size(), 0);
 	}
 
 	@Test
-	void anExpiredClaimIsKeptUntilEveryClockRefusesItsKey() {
+	void claimIsRetainedUntilEveryClockRefusesItsKey() {
 		ClaimTable table = owner(ownedMap());
-		table.claim(key(NOW), ALICE, 1, NOW);
+		table.claim(key(NOW), FIRST_HOLDER, 1, NOW);
 		long late = NOW + WINDOW.retentionMs() + 2 * WINDOW.skewMs();
 		table.expire(late);
-		assertEquals(table.claim(key(NOW), BOB, 1, late - 2 * WINDOW.skewMs()).status(), Status.HELD);
+		assertEquals(table.claim(key(NOW), SECOND_HOLDER, 1, late - 2 * WINDOW.skewMs()).status(), Status.HELD);
 		table.expire(late + 1);
-		assertEquals(table.claim(key(NOW), BOB, 1, late + 1).status(), Status.EXPIRED);
+		assertEquals(table.claim(key(NOW), SECOND_HOLDER, 1, late + 1).status(), Status.EXPIRED);
 	}
 
 	@DataProvider
@@ -147,14 +147,14 @@
 	}
 
 	@Test(dataProvider = "keyAges")
-	void aKeyOutsideTheWindowIsNotRunOnlyIfNoClockCanHaveAcceptedIt(long age, Outcome expected) {
+	void keyOutsideTheWindowIsNotRunOnlyIfNoClockCanHaveAcceptedIt(long age, Outcome expected) {
 		RequestResult ending = WINDOW.check(key(NOW - age), NOW).orElseThrow();
 		assertEquals(ending.outcome(), expected);
 		assertTrue(WINDOW.check(key(NOW), NOW).isEmpty());
 	}
 
 	@Test
-	void aSlotMapReadsBackAsItWasWritten() {
+	void slotMapEncodingRoundTrips() {
 		SlotMap map = SlotMap.empty(8)
 			.assign(List.of(0, 1, 2, 5), "vm-1", 3, false)
 			.assign(List.of(1), "vm-2", 4, true);
