--- a/core/src/main/java/org/tallycart/core/membership/HashedName.java
+++ b/core/src/main/java/org/tallycart/core/membership/HashedName.java
@@ -1,18 +1,18 @@
 package org.tallycart.core.membership;
 
 /**
- * A candidate's name, hashed once for all subjects that it is ranked for.
+ * The name of a candidate with its precomputed hash, for ranking it for many subjects.
  * <p>
  * Immutable and thread-safe.
  *
  * @param name the name
- * @param hash its hash
+ * @param hash hash of the name
  * @since 0.1
  */
 public record HashedName(String name, long hash) {
 
 	/**
-	 * Hash a name.
+	 * Create a hashed name.
 	 * @param name the name
 	 * @return the name and its hash
 	 */
--- a/core/src/main/java/org/tallycart/core/membership/Peer.java
+++ b/core/src/main/java/org/tallycart/core/membership/Peer.java
@@ -1,12 +1,12 @@
 package org.tallycart.core.membership;
 
 /**
- * What was last heard from another steward.
+ * The last known state of another steward.
  *
- * @param vm its VM
- * @param incarnation its incarnation; rises with each restart
- * @param draining whether it takes no new work
- * @param lastHeardMs when it was heard, by the monotonic clock
+ * @param vm VM of the steward
+ * @param incarnation incarnation of the steward; increases with each restart
+ * @param draining whether it accepts no new work
+ * @param lastHeardMs time of its last message on the monotonic clock, in milliseconds
  * @since 0.1
  */
 public record Peer(String vm, long incarnation, boolean draining, long lastHeardMs) {
--- a/core/src/main/java/org/tallycart/core/membership/PeerTable.java
+++ b/core/src/main/java/org/tallycart/core/membership/PeerTable.java
@@ -10,10 +10,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What this steward has heard of the others.
+ * The last known states of the other stewards.
  * <p>
- * Invariant: a VM's incarnation never falls; news of an earlier incarnation is dropped,
- * so a restarted process is never mistaken for its earlier self. Not thread-safe.
+ * Invariant: the incarnation of a VM never decreases; updates from an earlier incarnation
+ * are dropped, so that a restarted process is not confused with its predecessor. Not
+ * thread-safe.
  *
  * @since 0.1
  */
@@ -33,33 +34,33 @@
 	}
 
 	/**
-	 * Record news of a peer.
-	 * @param news the news
-	 * @return whether it was taken; false if it is of an earlier incarnation
+	 * Update the state of a peer.
+	 * @param update the received state
+	 * @return true if the update was applied; false if it is from an earlier incarnation
 	 */
-	public boolean update(Peer news) {
-		Peer known = this.peers.get(news.vm());
-		if (known != null && known.incarnation() > news.incarnation()) {
+	public boolean update(Peer update) {
+		Peer known = this.peers.get(update.vm());
+		if (known != null && known.incarnation() > update.incarnation()) {
 			return false;
 		}
-		boolean drains = news.draining()
-				|| (known != null && known.incarnation() == news.incarnation() && known.draining());
-		long heardMs = (known != null) ? Math.max(known.lastHeardMs(), news.lastHeardMs()) : news.lastHeardMs();
-		this.peers.put(news.vm(), new Peer(news.vm(), news.incarnation(), drains, heardMs));
+		boolean draining = update.draining()
+				|| (known != null && known.incarnation() == update.incarnation() && known.draining());
+		long lastHeardMs = (known != null) ? Math.max(known.lastHeardMs(), update.lastHeardMs()) : update.lastHeardMs();
+		this.peers.put(update.vm(), new Peer(update.vm(), update.incarnation(), draining, lastHeardMs));
 		return true;
 	}
 
 	/**
-	 * Return what is known of a VM's steward.
+	 * Return the state of the steward of a VM.
 	 * @param vm the VM
-	 * @return the peer, or null if nothing was heard
+	 * @return the peer, or null if it is unknown
 	 */
 	public @Nullable Peer peer(String vm) {
 		return this.peers.get(vm);
 	}
 
 	/**
-	 * Forget VMs that are not in the list.
+	 * Remove the VMs that are not in the list.
 	 * @param live the VMs in the list
 	 */
 	public void retain(Collection<String> live) {
@@ -67,10 +68,10 @@
 	}
 
 	/**
-	 * Return the peers that were heard lately and do not drain.
-	 * @param nowMs the monotonic clock now
-	 * @param withinMs how long ago is lately
-	 * @return their VMs
+	 * Return the peers that are not draining and have sent a message recently.
+	 * @param nowMs the current time on the monotonic clock, in milliseconds
+	 * @param withinMs the maximum age of the last message, in milliseconds
+	 * @return the VMs of the peers
 	 */
 	public List<String> active(long nowMs, long withinMs) {
 		List<String> vms = new ArrayList<>();
@@ -85,15 +86,15 @@
 	/**
 	 * Choose peers at random.
 	 * @param candidates the VMs to choose from
-	 * @param count how many
-	 * @param random returns a number below its argument
-	 * @return up to that many different VMs
+	 * @param count the number of peers
+	 * @param random returns a random number from 0 to its argument, exclusive
+	 * @return up to {@code count} distinct VMs
 	 */
 	public static List<String> sample(List<String> candidates, int count, IntUnaryOperator random) {
-		List<String> left = new ArrayList<>(candidates);
+		List<String> remaining = new ArrayList<>(candidates);
 		List<String> chosen = new ArrayList<>();
-		while (!left.isEmpty() && chosen.size() < count) {
-			chosen.add(left.remove(random.applyAsInt(left.size())));
+		while (!remaining.isEmpty() && chosen.size() < count) {
+			chosen.add(remaining.remove(random.applyAsInt(remaining.size())));
 		}
 		return chosen;
 	}
--- a/core/src/main/java/org/tallycart/core/membership/RendezvousHash.java
+++ b/core/src/main/java/org/tallycart/core/membership/RendezvousHash.java
@@ -7,9 +7,9 @@
 import java.util.function.Function;
 
 /**
- * Rendezvous (highest random weight) hashing: every process that knows the same
- * candidates ranks them alike for a given subject, and a candidate that comes or goes
- * moves only the subjects that rank it first.
+ * Rendezvous (highest random weight) hashing: all processes with the same candidates rank
+ * them identically for a given subject, and adding or removing a candidate moves only the
+ * subjects that rank it first.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -17,7 +17,7 @@
  */
 public final class RendezvousHash {
 
-	private static final long GOLDEN = 0x9E3779B97F4A7C15L;
+	private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
 	private static final long MIX_1 = 0xBF58476D1CE4E5B9L;
 
@@ -27,10 +27,10 @@
 	}
 
 	/**
-	 * Return the candidate that ranks first.
+	 * Return the highest-ranked candidate.
 	 * @param subject the subject
 	 * @param candidates the candidates
-	 * @return the first, or empty if there is no candidate
+	 * @return the highest-ranked candidate, or empty if there are no candidates
 	 */
 	public static Optional<String> first(String subject, Collection<String> candidates) {
 		long seed = hash(subject);
@@ -38,14 +38,13 @@
 	}
 
 	/**
-	 * Return the candidate that ranks first, by names that candidates have. One choice
-	 * among 1,000 candidates hashes the subject alone: each candidate costs one mixing
-	 * step.
-	 * @param <T> the kind of candidate
+	 * Return the highest-ranked candidate, using the hashed names of the candidates. Only
+	 * the subject is hashed; each candidate costs one mixing step.
+	 * @param <T> the type of the candidates
 	 * @param subject the subject
 	 * @param candidates the candidates
-	 * @param name gives a candidate's name
-	 * @return the first, or empty if there is no candidate
+	 * @param name returns the hashed name of a candidate
+	 * @return the highest-ranked candidate, or empty if there are no candidates
 	 */
 	public static <T> Optional<T> first(String subject, Collection<T> candidates, Function<T, HashedName> name) {
 		long seed = hash(subject);
@@ -55,8 +54,8 @@
 		for (T candidate : candidates) {
 			HashedName candidateName = name.apply(candidate);
 			long weight = mix(seed ^ candidateName.hash());
-			boolean equal = weight == firstWeight && candidateName.name().compareTo(firstName.name()) > 0;
-			if (first.isEmpty() || weight > firstWeight || equal) {
+			boolean tieBreak = weight == firstWeight && candidateName.name().compareTo(firstName.name()) > 0;
+			if (first.isEmpty() || weight > firstWeight || tieBreak) {
 				first = Optional.of(candidate);
 				firstName = candidateName;
 				firstWeight = weight;
@@ -66,11 +65,11 @@
 	}
 
 	/**
-	 * Return the candidates that rank highest.
+	 * Return the highest-ranked candidates.
 	 * @param subject the subject
 	 * @param candidates the candidates
-	 * @param count how many
-	 * @return up to that many, the first in front
+	 * @param count the maximum number of candidates
+	 * @return up to {@code count} candidates, the highest-ranked first
 	 */
 	public static List<String> top(String subject, Collection<String> candidates, int count) {
 		long seed = hash(subject);
@@ -83,7 +82,7 @@
 	}
 
 	static long hash(String text) {
-		long hash = GOLDEN;
+		long hash = GOLDEN_GAMMA;
 		for (int i = 0; i < text.length(); i++) {
 			hash = mix(hash + text.charAt(i));
 		}
@@ -91,7 +90,7 @@
 	}
 
 	private static long mix(long value) {
-		long z = value + GOLDEN;
+		long z = value + GOLDEN_GAMMA;
 		z = (z ^ (z >>> 30)) * MIX_1;
 		z = (z ^ (z >>> 27)) * MIX_2;
 		return z ^ (z >>> 31);
--- a/core/src/main/java/org/tallycart/core/membership/SlotPlan.java
+++ b/core/src/main/java/org/tallycart/core/membership/SlotPlan.java
@@ -10,11 +10,12 @@
 import org.tallycart.core.claim.SlotOwner;
 
 /**
- * Decides which slots a process takes over and which it hands over.
+ * Plans which slots a process takes over and which it hands over.
  * <p>
- * A slot is taken over only if its owner is certain to be gone: its VM is no longer in
- * the platform's list, or it is an earlier incarnation of this very VM, whose listening
- * port this process now holds. Not being heard is no reason. Thread-safe: holds no state.
+ * A slot is taken over only if its owner has definitely terminated: its VM is no longer
+ * in the platform's list, or it is an earlier incarnation on this VM, whose listen port
+ * this process now holds. An unresponsive owner is not sufficient. Thread-safe: holds no
+ * state.
  *
  * @since 0.1
  */
@@ -24,12 +25,12 @@
 	}
 
 	/**
-	 * Return the slots this process should take over.
+	 * Return the slots that this process should take over.
 	 * @param map the slot map
 	 * @param vm the VM of this process
-	 * @param incarnation this process
-	 * @param list the known VMs
-	 * @param active the VMs that can own slots, this one included
+	 * @param incarnation the incarnation of this process
+	 * @param list the list of VMs
+	 * @param active the VMs that can own slots, including this one
 	 * @return the slots
 	 */
 	public static List<Integer> takeovers(SlotMap map, String vm, long incarnation, VmList list,
@@ -37,9 +38,9 @@
 		List<Integer> slots = new ArrayList<>();
 		for (int slot = 0; slot < map.slotCount(); slot++) {
 			SlotOwner owner = map.owner(slot);
-			boolean mineBefore = owner != null && owner.vm().equals(vm) && owner.incarnation() < incarnation;
+			boolean ownedBefore = owner != null && owner.vm().equals(vm) && owner.incarnation() < incarnation;
 			boolean ownerless = owner == null || list.version() > 0 && list.find(owner.vm()).isEmpty();
-			if (mineBefore || ownerless && preferred(slot, active).equals(vm)) {
+			if (ownedBefore || ownerless && preferred(slot, active).equals(vm)) {
 				slots.add(slot);
 			}
 		}
@@ -47,20 +48,20 @@
 	}
 
 	/**
-	 * Return the slots this process should hand over, by the VM that should have them.
+	 * Return the slots that this process should hand over, by target VM.
 	 * @param map the slot map
 	 * @param vm the VM of this process
-	 * @param incarnation this process
-	 * @param active the VMs that can own slots; without this one if it drains
-	 * @return the slots by their new owner
+	 * @param incarnation the incarnation of this process
+	 * @param active the VMs that can own slots; excludes this one if it is draining
+	 * @return the slots by VM of the new owner
 	 */
 	public static SortedMap<String, List<Integer>> handovers(SlotMap map, String vm, long incarnation,
 			Collection<String> active) {
 		SortedMap<String, List<Integer>> plan = new TreeMap<>();
 		for (int slot : map.ownedBy(vm, incarnation)) {
-			String wanted = preferred(slot, active);
-			if (!wanted.isEmpty() && !wanted.equals(vm)) {
-				plan.computeIfAbsent(wanted, (key) -> new ArrayList<>()).add(slot);
+			String target = preferred(slot, active);
+			if (!target.isEmpty() && !target.equals(vm)) {
+				plan.computeIfAbsent(target, (key) -> new ArrayList<>()).add(slot);
 			}
 		}
 		return plan;
--- a/core/src/main/java/org/tallycart/core/membership/VmList.java
+++ b/core/src/main/java/org/tallycart/core/membership/VmList.java
@@ -8,25 +8,25 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * The platform's list of VMs, at one version. It lags; a VM that is no longer in it has
- * been ended by the platform.
+ * A version of the platform's list of VMs. The list may be stale, but a VM that is no
+ * longer in it has been terminated by the platform.
  * <p>
  * Immutable and thread-safe.
  *
- * @param version the list's version
+ * @param version version of the list
  * @param vms the VMs
  * @since 0.1
  */
 public record VmList(long version, List<Vm> vms) {
 
-	/** No list has been read yet. */
+	/** The list before the first version has been read. */
 	public static final VmList EMPTY = new VmList(0, List.of());
 
-	private static final int FIELDS = 5;
+	private static final int FIELD_COUNT = 5;
 
 	/**
 	 * Find a VM.
-	 * @param id the VM
+	 * @param id the id of the VM
 	 * @return the VM, or empty if it is not in the list
 	 */
 	public Optional<Vm> find(String id) {
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Return the VMs of one role.
+	 * Return the VMs with a given role.
 	 * @param role the role
 	 * @return the VMs
 	 */
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * Write the VMs as text, one a line.
+	 * Encode the VMs as text, one per line.
 	 * @return the text
 	 */
 	public String encode() {
@@ -56,10 +56,10 @@
 	}
 
 	/**
-	 * Read a list written by {@link #encode()}.
-	 * @param version its version
+	 * Decode a list written by {@link #encode()}.
+	 * @param version the version of the list
 	 * @param text the text
-	 * @return the list, or what is wrong with the text
+	 * @return the list, or an error message
 	 */
 	public static Either<String, VmList> decode(long version, String text) {
 		List<Vm> vms = new ArrayList<>();
@@ -68,12 +68,12 @@
 				continue;
 			}
 			String[] fields = line.split(" ");
-			if (fields.length != FIELDS) {
-				return Either.left("VM list has a line of " + fields.length + " fields");
+			if (fields.length != FIELD_COUNT) {
+				return Either.left("VM list: line has " + fields.length + " fields, expected " + FIELD_COUNT);
 			}
 			Either<String, Address> address = Address.parse(fields[3]);
 			if (address.isLeft()) {
-				return Either.left("VM list: " + address.getLeft());
+				return Either.left("VM list: address '" + fields[3] + "' " + address.getLeft());
 			}
 			VmState state = fields[4].equals(VmState.LIVE.name()) ? VmState.LIVE : VmState.LEAVING;
 			vms.add(new Vm(fields[0], fields[1], fields[2], address.get(), state));
--- a/core/src/main/java/org/tallycart/core/membership/VmState.java
+++ b/core/src/main/java/org/tallycart/core/membership/VmState.java
@@ -9,7 +9,7 @@
 
 	/** Running. */
 	LIVE,
-	/** Will go away; takes no new work. */
+	/** Draining: accepts no new work and will be terminated. */
 	LEAVING
 
 }
--- a/core/src/main/java/org/tallycart/core/membership/WatcherSelection.java
+++ b/core/src/main/java/org/tallycart/core/membership/WatcherSelection.java
@@ -5,8 +5,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Chooses, with no election, the few VMs of each failure domain that watch the platform's
- * service. Two lists that differ choose a few more watchers, which does no harm.
+ * Selects, without an election, the VMs of each failure domain that watch the platform's
+ * service. Processes with different VM lists may select additional watchers, which is
+ * harmless.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -14,18 +15,18 @@
  */
 public final class WatcherSelection {
 
-	/** Watchers in each failure domain. */
+	/** Number of watchers in each failure domain. */
 	public static final int PER_DOMAIN = 2;
 
 	private WatcherSelection() {
 	}
 
 	/**
-	 * Return whether a VM is one of its failure domain's watchers.
+	 * Return whether a VM is a watcher of its failure domain.
 	 * @param vm the VM
-	 * @param domain its failure domain
+	 * @param domain the failure domain of the VM
 	 * @param list the list of VMs
-	 * @return true if it is, or if its domain has no VM in the list
+	 * @return true if it is, or if the list contains no VM of the domain
 	 */
 	public static boolean isWatcher(String vm, String domain, VmList list) {
 		Map<String, List<String>> byDomain = list.withRole(Vm.ROLE_ENTRY)
--- a/core/src/main/java/org/tallycart/core/membership/package-info.java
+++ b/core/src/main/java/org/tallycart/core/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Members of the fleet, their incarnations, and rendezvous hashing over them.
+ * Fleet membership: VMs, incarnations of their processes, and rendezvous hashing.
  */
 @NullMarked
 package org.tallycart.core.membership;
--- a/core/src/test/java/org/tallycart/core/membership/MembershipTests.java
+++ b/core/src/test/java/org/tallycart/core/membership/MembershipTests.java
@@ -15,7 +15,8 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for membership and the plan of slots.
+ * Tests for {@link PeerTable}, {@link SlotPlan}, {@link RendezvousHash},
+ * {@link WatcherSelection} and {@link VmList}.
  */
 public class MembershipTests {
 
@@ -30,7 +31,7 @@
 	private static final SlotMap OWNED = SlotMap.empty(4).assign(List.of(0, 1, 2, 3), "vm-1", 7, false);
 
 	@Test
-	void newsOfAnEarlierIncarnationIsDropped() {
+	void updateFromAnEarlierIncarnationIsDropped() {
 		PeerTable table = PeerTable.create();
 		assertTrue(table.update(new Peer("vm-1", 5, false, 100)));
 		assertFalse(table.update(new Peer("vm-1", 4, false, 200)));
@@ -46,18 +47,18 @@
 	}
 
 	@Test(dataProvider = "owners")
-	void slotsAreTakenOverOnlyFromAVmThatThePlatformHasEnded(VmList list, int expected) {
+	void slotsAreTakenOverOnlyFromTerminatedVms(VmList list, int expected) {
 		assertEquals(SlotPlan.takeovers(OWNED, "vm-2", 1, list, List.of("vm-2")).size(), expected);
 	}
 
 	@Test
-	void aRestartedProcessTakesOverItsOwnSlots() {
+	void restartedProcessTakesOverItsOwnSlots() {
 		assertEquals(SlotPlan.takeovers(OWNED, "vm-1", 8, list("vm-1"), List.of("vm-1", "vm-2")).size(), 4);
 		assertEquals(SlotPlan.takeovers(OWNED, "vm-1", 7, list("vm-1"), List.of("vm-1", "vm-2")).size(), 0);
 	}
 
 	@Test
-	void aDrainingOwnerHandsEverySlotOver() {
+	void drainingOwnerHandsOverAllSlots() {
 		int planned = SlotPlan.handovers(OWNED, "vm-1", 7, List.of("vm-2", "vm-3"))
 			.values()
 			.stream()
@@ -68,7 +69,7 @@
 	}
 
 	@Test
-	void rendezvousHashingSpreadsEvenlyAndMovesLittle() {
+	void rendezvousHashingIsBalancedAndMovesOnlySubjectsOfRemovedVms() {
 		List<String> vms = new ArrayList<>();
 		for (int i = 0; i < 8; i++) {
 			vms.add("vm-" + i);
@@ -86,7 +87,7 @@
 	}
 
 	@Test
-	void eachFailureDomainHasAFewWatchers() {
+	void eachFailureDomainHasTwoWatchers() {
 		List<Vm> vms = new ArrayList<>();
 		for (int i = 0; i < 40; i++) {
 			vms.add(new Vm("vm-" + i, Vm.ROLE_ENTRY, "d" + i % 4, new Address("10.0.0.1", 1), VmState.LIVE));
@@ -97,7 +98,7 @@
 	}
 
 	@Test
-	void aVmListReadsBackAsItWasWritten() {
+	void vmListEncodingRoundTrips() {
 		VmList written = list("vm-1", "vm-2");
 		assertEquals(VmList.decode(1, written.encode()).get(), written);
 		assertTrue(VmList.decode(1, "vm-1 entry lac").isLeft());
