--- a/core/src/main/java/org/tallycart/core/replication/Digest.java
+++ b/core/src/main/java/org/tallycart/core/replication/Digest.java
@@ -18,7 +18,7 @@
 	}
 
 	/**
-	 * Digest a text in UTF-8.
+	 * Return the digest of a text encoded in UTF-8.
 	 * @param text the text
 	 * @return the digest
 	 */
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * Digest bytes.
+	 * Return the digest of bytes.
 	 * @param bytes the bytes
 	 * @return the digest
 	 */
@@ -36,15 +36,15 @@
 	}
 
 	/**
-	 * Create a SHA-256 digest to be fed piece by piece.
-	 * @return the digest
+	 * Create a SHA-256 message digest for incremental updates.
+	 * @return the message digest
 	 */
 	public static MessageDigest sha256() {
 		try {
 			return MessageDigest.getInstance("SHA-256");
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("every Java runtime has SHA-256", ex);
+			throw new IllegalStateException("SHA-256 is required in every Java runtime but not available", ex);
 		}
 	}
 
--- a/core/src/main/java/org/tallycart/core/replication/Manifest.java
+++ b/core/src/main/java/org/tallycart/core/replication/Manifest.java
@@ -9,34 +9,34 @@
 import io.vavr.control.Either;
 
 /**
- * The head of the configuration: a version, the parts that make it up by content digest,
- * and the latest changes.
+ * The head of the configuration: a version, its parts by content digest, and the latest
+ * changes.
  * <p>
- * Invariant: a manifest's version is one more than that of the manifest it replaced.
- * Immutable and thread-safe.
+ * Invariant: the version of a manifest is one higher than that of the manifest that it
+ * replaced. Immutable and thread-safe.
  *
- * @param version the version; 0 where nothing was ever accepted
- * @param parts digest of each part, by name
- * @param history the latest changes, newest first
+ * @param version version of the configuration; 0 if nothing has been accepted yet
+ * @param parts digests of the parts, by name
+ * @param history latest changes, newest first
  * @since 0.1
  */
 public record Manifest(long version, SortedMap<String, String> parts, List<ManifestChange> history) {
 
-	/** How many changes a manifest remembers. */
+	/** Maximum number of changes in the history. */
 	public static final int HISTORY_LENGTH = 64;
 
-	/** Nothing accepted yet. */
+	/** The manifest before any change has been accepted. */
 	public static final Manifest EMPTY = new Manifest(0, new TreeMap<>(), List.of());
 
 	private static final String SEPARATOR = "\t";
 
 	/**
-	 * Return the manifest that follows this one.
-	 * @param nextParts its parts
-	 * @param changeId the change that makes it
-	 * @param author who makes the change
-	 * @param digest digest of {@link #encodeParts} of the new parts
-	 * @param sections the declarations the change touches
+	 * Create the next manifest.
+	 * @param nextParts the parts of the next manifest
+	 * @param changeId the id of the change
+	 * @param author the author of the change
+	 * @param digest the digest of the new parts as encoded by {@link #encodeParts}
+	 * @param sections the declarations that the change modifies
 	 * @return the next manifest
 	 */
 	public Manifest next(SortedMap<String, String> nextParts, String changeId, String author, String digest,
@@ -49,24 +49,24 @@
 
 	/**
 	 * Find a change in the history.
-	 * @param changeId its id
-	 * @return the change, or empty if it is not there
+	 * @param changeId the id of the change
+	 * @return the change, or empty if it is not in the history
 	 */
 	public Optional<ManifestChange> find(String changeId) {
 		return this.history.stream().filter((change) -> change.id().equals(changeId)).findFirst();
 	}
 
 	/**
-	 * Find the latest change that touched a declaration.
+	 * Find the latest change that modified a declaration.
 	 * @param section the declaration
-	 * @return the change, or empty if none in the history did
+	 * @return the change, or empty if there is none in the history
 	 */
 	public Optional<ManifestChange> findLatestChange(String section) {
 		return this.history.stream().filter((change) -> change.sections().contains(section)).findFirst();
 	}
 
 	/**
-	 * Write the parts as text, one a line.
+	 * Encode the parts as text, one per line.
 	 * @param parts the parts
 	 * @return the text
 	 */
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Write the manifest as text.
+	 * Encode the manifest as text.
 	 * @return the text
 	 */
 	public String encode() {
@@ -89,9 +89,9 @@
 	}
 
 	/**
-	 * Read a manifest, or the parts alone, written as text.
+	 * Decode a manifest, or its parts alone.
 	 * @param text the text
-	 * @return the manifest, or what is wrong with the text
+	 * @return the manifest, or an error message
 	 */
 	public static Either<String, Manifest> decode(String text) {
 		long version = 0;
@@ -107,14 +107,14 @@
 					case "part" -> parts.put(fields[1], fields[2]);
 					case "change" -> history.add(ManifestChange.decode(fields));
 					default -> {
-						// A later release may add lines of its own.
+						// Ignored, because a later release may add other kinds of lines.
 					}
 				}
 			}
 			return Either.right(new Manifest(version, parts, history));
 		}
 		catch (NumberFormatException | IndexOutOfBoundsException ex) {
-			return Either.left("manifest is not readable: " + ex.getMessage());
+			return Either.left("cannot parse the manifest: " + ex.getMessage());
 		}
 	}
 
--- a/core/src/main/java/org/tallycart/core/replication/ManifestChange.java
+++ b/core/src/main/java/org/tallycart/core/replication/ManifestChange.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * One accepted change, as the manifest's history records it.
+ * An accepted change, as recorded in the history of the manifest.
  *
- * @param version the version the change made
- * @param id the change's id, chosen by its author's tool
- * @param author who made it
- * @param manifest digest of the manifest's parts, kept under that name in the store
- * @param sections the declarations it touched
+ * @param version version created by the change
+ * @param id id of the change, assigned by the author's tool
+ * @param author author of the change
+ * @param manifest digest of the parts of the manifest, which are stored under this name
+ * @param sections names of the declarations that it modified
  * @since 0.1
  */
 public record ManifestChange(long version, String id, String author, String manifest, List<String> sections) {
 
 	private static final String SECTION_SEPARATOR = ",";
 
-	private static final int FIELDS = 5;
+	private static final int SECTIONS_FIELD = 5;
 
 	String encode() {
 		return "change\t" + this.version + "\t" + this.id + "\t" + this.author + "\t" + this.manifest + "\t"
@@ -24,7 +24,8 @@
 	}
 
 	static ManifestChange decode(String[] fields) {
-		List<String> sections = (fields.length > FIELDS) ? List.of(fields[FIELDS].split(SECTION_SEPARATOR)) : List.of();
+		List<String> sections = (fields.length > SECTIONS_FIELD)
+				? List.of(fields[SECTIONS_FIELD].split(SECTION_SEPARATOR)) : List.of();
 		return new ManifestChange(Long.parseLong(fields[1]), fields[2], fields[3], fields[4], sections);
 	}
 
--- a/core/src/main/java/org/tallycart/core/replication/ManifestParts.java
+++ b/core/src/main/java/org/tallycart/core/replication/ManifestParts.java
@@ -1,8 +1,8 @@
 package org.tallycart.core.replication;
 
 /**
- * Divides declarations into parts, so that one change moves few bytes and each part stays
- * under the size limit of the platform's values.
+ * Divides declarations into parts, so that a change transfers few bytes and each part
+ * stays below the size limit for values of the platform's store.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -10,15 +10,16 @@
  */
 public final class ManifestParts {
 
-	/** Parts over which the workspaces are spread. */
+	/** Number of parts over which the workspaces are distributed. */
 	public static final int WORKSPACE_PARTS = 64;
 
 	private ManifestParts() {
 	}
 
 	/**
-	 * Return the part a declaration belongs to.
-	 * @param section the declaration's section name, such as {@code workspace shop-7}
+	 * Return the part that a declaration belongs to.
+	 * @param section the section name of the declaration, such as
+	 * {@code workspace shop-7}
 	 * @return the name of the part
 	 */
 	public static String partOf(String section) {
--- a/core/src/main/java/org/tallycart/core/replication/ThreeWayMerge.java
+++ b/core/src/main/java/org/tallycart/core/replication/ThreeWayMerge.java
@@ -12,11 +12,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Merges an author's declarations with those in force, against the version that the
- * author began from.
+ * Merges the declarations of an author with those of the active configuration, relative
+ * to the version that the author started from.
  * <p>
- * Invariant: a declaration that the author did not change keeps the text in force, so
- * that an old checkout never reverts another operator's change. Thread-safe: holds no
+ * Invariant: a declaration that the author did not change keeps its active text, so that
+ * an old checkout never reverts the change of another operator. Thread-safe: holds no
  * state.
  *
  * @since 0.1
@@ -27,10 +27,10 @@
 	}
 
 	/**
-	 * Merge three sets of declarations, each a text by section name.
-	 * @param base what the author began from
-	 * @param mine what the author wants
-	 * @param theirs what is in force
+	 * Merge three sets of declarations, each with texts by section name.
+	 * @param base the version that the author started from
+	 * @param mine the version of the author
+	 * @param theirs the active version
 	 * @return the merged set, or the conflicts
 	 */
 	public static Either<List<MergeConflict>, SortedMap<String, String>> merge(Map<String, String> base,
@@ -41,17 +41,17 @@
 		names.addAll(mine.keySet());
 		names.addAll(theirs.keySet());
 		for (String name : names) {
-			String ours = mine.get(name);
-			String other = theirs.get(name);
-			boolean mineChanged = !Objects.equals(ours, base.get(name));
-			boolean theirsChanged = !Objects.equals(other, base.get(name));
-			if (mineChanged && theirsChanged && !Objects.equals(ours, other)) {
-				conflicts.add(new MergeConflict(name, orEmpty(ours), orEmpty(other)));
+			String mineText = mine.get(name);
+			String theirsText = theirs.get(name);
+			boolean mineChanged = !Objects.equals(mineText, base.get(name));
+			boolean theirsChanged = !Objects.equals(theirsText, base.get(name));
+			if (mineChanged && theirsChanged && !Objects.equals(mineText, theirsText)) {
+				conflicts.add(new MergeConflict(name, orEmpty(mineText), orEmpty(theirsText)));
 				continue;
 			}
-			String winner = mineChanged ? ours : other;
-			if (winner != null) {
-				merged.put(name, winner);
+			String mergedText = mineChanged ? mineText : theirsText;
+			if (mergedText != null) {
+				merged.put(name, mergedText);
 			}
 		}
 		return conflicts.isEmpty() ? Either.right(merged) : Either.left(conflicts);
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	 * Name the declarations that differ between two sets.
+	 * Return the names of the declarations that differ between two sets.
 	 * @param before one set
 	 * @param after the other
 	 * @return the names, sorted
--- a/core/src/main/java/org/tallycart/core/replication/VersionedRegister.java
+++ b/core/src/main/java/org/tallycart/core/replication/VersionedRegister.java
@@ -5,9 +5,10 @@
 import org.tallycart.core.outcome.InvariantViolation;
 
 /**
- * A value with a version that only rises.
+ * A value with a version that only increases.
  * <p>
- * Invariant: the version never falls, and one version has one value. Not thread-safe.
+ * Invariant: the version never decreases, and a version has exactly one value. Not
+ * thread-safe.
  *
  * @since 0.1
  */
@@ -24,7 +25,7 @@
 	}
 
 	/**
-	 * Create a register at version 0, with an empty value.
+	 * Create a register with version 0 and an empty value.
 	 * @param name the name
 	 * @return the register
 	 */
@@ -33,10 +34,10 @@
 	}
 
 	/**
-	 * Offer a value heard from a peer or from the platform's service.
-	 * @param offeredVersion its version
+	 * Offer a value received from a peer or from the platform's service.
+	 * @param offeredVersion the version of the value
 	 * @param offered the value
-	 * @return what became of it
+	 * @return the result
 	 */
 	public OfferResult offer(long offeredVersion, byte[] offered) {
 		if (offeredVersion < this.version) {
@@ -45,10 +46,11 @@
 		if (offeredVersion == this.version) {
 			return Arrays.equals(offered, this.value) ? OfferResult.SAME : OfferResult.REFUSED_DIFFERENT;
 		}
-		long before = this.version;
+		long previousVersion = this.version;
 		this.version = offeredVersion;
 		this.value = offered.clone();
-		InvariantViolation.check(this.version > before, this.name + ": the version fell");
+		InvariantViolation.check(this.version > previousVersion,
+				this.name + ": version decreased from " + previousVersion + " to " + this.version);
 		return OfferResult.APPLIED;
 	}
 
@@ -62,7 +64,7 @@
 
 	/**
 	 * Return the version.
-	 * @return the version; 0 if nothing was ever accepted
+	 * @return the version; 0 if no value has been accepted yet
 	 */
 	public long version() {
 		return this.version;
@@ -76,16 +78,19 @@
 		return this.value.clone();
 	}
 
-	/** What became of an offered value. */
+	/** Result of an offer. */
 	public enum OfferResult {
 
-		/** It is newer and is now the value. */
+		/** The value was newer and has been applied. */
 		APPLIED,
-		/** It is the value already. */
+		/** The value is equal to the current one. */
 		SAME,
-		/** It is older and was refused. */
+		/** The value was older and has been refused. */
 		REFUSED_OLD,
-		/** It has the version of the present value and differs from it. */
+		/**
+		 * The value differs from the current value of the same version and has been
+		 * refused.
+		 */
 		REFUSED_DIFFERENT
 
 	}
--- a/core/src/main/java/org/tallycart/core/replication/package-info.java
+++ b/core/src/main/java/org/tallycart/core/replication/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Versioned registers whose value never goes back, and the three-way merge of manifests.
+ * Versioned registers whose version never decreases, the configuration manifest, and the
+ * three-way merge of declarations.
  */
 @NullMarked
 package org.tallycart.core.replication;
--- a/core/src/test/java/org/tallycart/core/replication/ReplicationTests.java
+++ b/core/src/test/java/org/tallycart/core/replication/ReplicationTests.java
@@ -23,7 +23,7 @@
 	}
 
 	@Test(dataProvider = "offers")
-	void aRegisterNeverGoesBack(long version, int value, VersionedRegister.OfferResult expected) {
+	void registerVersionNeverDecreases(long version, int value, VersionedRegister.OfferResult expected) {
 		VersionedRegister register = VersionedRegister.create("config");
 		register.offer(5, new byte[] { 5 });
 		assertEquals(register.offer(version, new byte[] { (byte) value }), expected);
@@ -38,7 +38,7 @@
 	}
 
 	@Test(dataProvider = "merges")
-	void aMergeKeepsBothChangesOrNamesTheConflict(String base, String mine, String theirs, String expected) {
+	void mergeKeepsBothChangesOrReturnsTheConflict(String base, String mine, String theirs, String expected) {
 		var merged = ThreeWayMerge.merge(section(base), section(mine), section(theirs));
 		String found = merged.isLeft() ? "conflict" : merged.get().getOrDefault("s", "");
 		assertEquals(found, expected);
@@ -49,7 +49,7 @@
 	}
 
 	@Test
-	void aManifestReadsBackAndForgetsOldChanges() {
+	void manifestEncodingRoundTripsAndHistoryIsBounded() {
 		Manifest manifest = Manifest.EMPTY;
 		for (int i = 0; i < 100; i++) {
 			manifest = manifest.next(new TreeMap<>(Map.of("policy", "d" + i)), "c" + i, "ana", "m" + i,
