--- a/core/src/test/java/org/tallycart/core/claim/ClaimTableTests.java
+++ b/core/src/test/java/org/tallycart/core/claim/ClaimTableTests.java
@@ -148,8 +148,8 @@
 
 	@Test(dataProvider = "keyAges")
 	void keyOutsideTheWindowIsNotRunOnlyIfNoClockCanHaveAcceptedIt(long age, Outcome expected) {
-		RequestResult ending = WINDOW.check(key(NOW - age), NOW).orElseThrow();
-		assertEquals(ending.outcome(), expected);
+		RequestResult result = WINDOW.check(key(NOW - age), NOW).orElseThrow();
+		assertEquals(result.outcome(), expected);
 		assertTrue(WINDOW.check(key(NOW), NOW).isEmpty());
 	}
 
