--- a/core/src/main/java/org/tallycart/core/outcome/AttemptState.java
+++ b/core/src/main/java/org/tallycart/core/outcome/AttemptState.java
@@ -1,23 +1,23 @@
 package org.tallycart.core.outcome;
 
 /**
- * State of one attempt at a stage call.
+ * State of an attempt at a stage call.
  *
  * @since 0.1
  */
 public enum AttemptState {
 
-	/** Chosen an upstream; no byte has been handed to a socket. */
+	/** An upstream has been selected; no byte has been written to a socket. */
 	PLANNED,
-	/** The first byte may have left. Never goes back to {@link #PLANNED}. */
+	/** The first byte may have been sent. Never returns to {@link #PLANNED}. */
 	BEGUN,
-	/** A whole result was accepted. */
+	/** A complete result was accepted. */
 	SUCCEEDED,
-	/** The upstream refused before it ran anything, by its own answer. */
+	/** The upstream replied that it refused the call without executing it. */
 	REFUSED,
 	/** The upstream reported an error. */
 	FAILED,
-	/** Given up: its result, if it ever comes, is dropped. */
+	/** Abandoned by this system; a late result is dropped. */
 	ABANDONED
 
 }
--- a/core/src/main/java/org/tallycart/core/outcome/AttemptTracker.java
+++ b/core/src/main/java/org/tallycart/core/outcome/AttemptTracker.java
@@ -6,14 +6,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Ledger of every attempt made for one request; it alone decides which outcome may be
- * told.
+ * Tracks all attempts of one request and determines which outcome may be reported.
  * <p>
- * Invariants, checked in production: an attempt that has begun never un-begins; a stage
- * accepts one result; a result is accepted only from a begun attempt of this request; a
- * call that may not be repeated begins once, and again only after its upstream refused
- * it; an ending is set once; NOT_RUN is told only if nothing has begun. Thread-safe:
- * attempts of a hedged call report from several threads.
+ * Invariants, checked at run time: an attempt that has begun never returns to the planned
+ * state; a stage accepts one result; a result is accepted only from a begun attempt of
+ * this request; a call that must not be repeated begins once, and again only after its
+ * upstream has refused it; the result of the request is set once; NOT_RUN is reported
+ * only if no attempt has begun or all begun attempts were refused. Thread-safe: attempts
+ * of a hedged call report from several threads.
  *
  * @since 0.1
  */
@@ -31,7 +31,7 @@
 
 	private int lateResults;
 
-	private @Nullable RequestResult ending;
+	private @Nullable RequestResult result;
 
 	private AttemptTracker(String requestId, boolean repeatable) {
 		this.requestId = requestId;
@@ -39,10 +39,10 @@
 	}
 
 	/**
-	 * Open the ledger of a request.
-	 * @param requestId the request
+	 * Create the tracker of a request.
+	 * @param requestId the id of the request
 	 * @param repeatable whether its stage calls may be repeated
-	 * @return an empty ledger
+	 * @return a tracker without attempts
 	 */
 	public static AttemptTracker create(String requestId, boolean repeatable) {
 		return new AttemptTracker(requestId, repeatable);
@@ -51,7 +51,7 @@
 	/**
 	 * Plan an attempt at a stage call.
 	 * @param stage the stage
-	 * @return the attempt's number within the request
+	 * @return the number of the attempt within the request
 	 */
 	public synchronized int plan(String stage) {
 		int number = this.attempts.size() + 1;
@@ -60,49 +60,50 @@
 	}
 
 	/**
-	 * Record that the first byte of an attempt is about to be handed to a socket.
-	 * @param number the attempt
-	 * @return whether the attempt may go on; false if the request has ended or, for a
-	 * call that may not be repeated, another attempt has begun
+	 * Record that the first byte of an attempt is about to be written to a socket.
+	 * @param number the number of the attempt
+	 * @return true if the attempt may proceed; false if the request has a result or, for
+	 * a call that must not be repeated, another attempt has begun
 	 */
 	public synchronized boolean begin(int number) {
 		Attempt attempt = attempt(number);
-		if (this.ending != null || attempt.state != AttemptState.PLANNED) {
+		if (this.result != null || attempt.state != AttemptState.PLANNED) {
 			return false;
 		}
-		if (!this.repeatable && runsOf(attempt.stage) > 0) {
+		if (!this.repeatable && countRuns(attempt.stage) > 0) {
 			return false;
 		}
 		attempt.state = AttemptState.BEGUN;
 		attempt.hadBegun = true;
 		this.begun++;
-		InvariantViolation.check(this.repeatable || runsOf(attempt.stage) == 1,
-				this.requestId + ": a call that may not be repeated began twice");
+		InvariantViolation.check(this.repeatable || countRuns(attempt.stage) == 1,
+				this.requestId + ": a call to stage " + attempt.stage + " that must not be repeated began twice");
 		return true;
 	}
 
 	/**
 	 * Offer the result of an attempt.
-	 * @param number the attempt
-	 * @return whether the result is the stage's result; false if it came late, after the
-	 * attempt was abandoned or the stage had its result
+	 * @param number the number of the attempt
+	 * @return true if it is accepted as the result of the stage; false if it is late
+	 * because the attempt was abandoned, the stage already has a result, or the request
+	 * has a result
 	 */
 	public synchronized boolean accept(int number) {
 		Attempt attempt = attempt(number);
-		if (this.ending != null || attempt.state != AttemptState.BEGUN || this.accepted.containsKey(attempt.stage)) {
+		if (this.result != null || attempt.state != AttemptState.BEGUN || this.accepted.containsKey(attempt.stage)) {
 			this.lateResults++;
 			return false;
 		}
 		attempt.state = AttemptState.SUCCEEDED;
-		Integer before = this.accepted.put(attempt.stage, number);
-		InvariantViolation.check(before == null, this.requestId + ": stage " + attempt.stage + " has two results");
+		Integer previous = this.accepted.put(attempt.stage, number);
+		InvariantViolation.check(previous == null, this.requestId + ": stage " + attempt.stage + " has two results");
 		return true;
 	}
 
 	/**
 	 * Close an attempt without a result.
-	 * @param number the attempt
-	 * @param state how it ended: REFUSED, FAILED or ABANDONED
+	 * @param number the number of the attempt
+	 * @param state the final state: REFUSED, FAILED or ABANDONED
 	 */
 	public synchronized void close(int number, AttemptState state) {
 		Attempt attempt = attempt(number);
@@ -117,23 +118,23 @@
 	}
 
 	/**
-	 * End the request, correcting the outcome to one that is true.
-	 * @param wanted the ending that the caller of this method proposes
-	 * @return the ending to tell, the same at every later call
+	 * Set the result of the request, correcting its outcome according to the attempts.
+	 * @param proposed the proposed result
+	 * @return the result to report; the same on every later call
 	 */
-	public synchronized RequestResult end(RequestResult wanted) {
-		if (this.ending == null) {
-			this.ending = truthful(wanted);
-			InvariantViolation.check(this.ending.outcome() != Outcome.NOT_RUN || this.begun == refusedCount(),
-					this.requestId + ": told NOT_RUN after a call had begun");
+	public synchronized RequestResult end(RequestResult proposed) {
+		if (this.result == null) {
+			this.result = correctOutcome(proposed);
+			InvariantViolation.check(this.result.outcome() != Outcome.NOT_RUN || this.begun == refusedCount(),
+					this.requestId + ": reported NOT_RUN after a call had begun");
 		}
-		return this.ending;
+		return this.result;
 	}
 
-	private RequestResult truthful(RequestResult wanted) {
-		Outcome outcome = wanted.outcome();
+	private RequestResult correctOutcome(RequestResult proposed) {
+		Outcome outcome = proposed.outcome();
 		if (outcome == Outcome.COMPLETE || outcome == Outcome.UNKNOWN) {
-			return wanted;
+			return proposed;
 		}
 		if (!this.repeatable && uncertainCount() > 0) {
 			outcome = Outcome.UNKNOWN;
@@ -141,10 +142,10 @@
 		else {
 			outcome = (this.begun == refusedCount() && outcome == Outcome.NOT_RUN) ? Outcome.NOT_RUN : Outcome.FAILED;
 		}
-		return new RequestResult(outcome, wanted.reason(), wanted.detail(), wanted.retryAfterMs());
+		return new RequestResult(outcome, proposed.reason(), proposed.detail(), proposed.retryAfterMs());
 	}
 
-	private long runsOf(String stage) {
+	private long countRuns(String stage) {
 		return this.attempts.values()
 			.stream()
 			.filter((attempt) -> attempt.stage.equals(stage) && attempt.hadBegun
@@ -172,7 +173,7 @@
 	}
 
 	/**
-	 * Return how many attempts have begun.
+	 * Return the number of attempts that have begun.
 	 * @return the count
 	 */
 	public synchronized int begunCount() {
@@ -180,7 +181,7 @@
 	}
 
 	/**
-	 * Return how many results came too late and were dropped.
+	 * Return the number of late results that were dropped.
 	 * @return the count
 	 */
 	public synchronized int lateResultCount() {
@@ -190,7 +191,7 @@
 	private Attempt attempt(int number) {
 		Attempt attempt = this.attempts.get(number);
 		if (attempt == null) {
-			throw new IllegalArgumentException(this.requestId + ": no attempt " + number);
+			throw new IllegalArgumentException(this.requestId + ": unknown attempt " + number);
 		}
 		return attempt;
 	}
--- a/core/src/main/java/org/tallycart/core/outcome/InvariantViolation.java
+++ b/core/src/main/java/org/tallycart/core/outcome/InvariantViolation.java
@@ -3,7 +3,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A broken invariant: a fault of the program, after which the process must stop.
+ * Thrown when an invariant is violated, which indicates a bug after which the process
+ * must stop.
  *
  * @since 0.1
  */
@@ -14,9 +15,9 @@
 	}
 
 	/**
-	 * Throw unless a condition holds.
+	 * Check that a condition holds.
 	 * @param condition the condition
-	 * @param message what was broken
+	 * @param message a description of the violated invariant
 	 */
 	public static void check(boolean condition, String message) {
 		if (!condition) {
@@ -25,10 +26,10 @@
 	}
 
 	/**
-	 * Return a value that must be there.
-	 * @param <T> the type
+	 * Return a value that must not be null.
+	 * @param <T> the type of the value
 	 * @param value the value
-	 * @param message what is broken if it is not there
+	 * @param message a description of the violated invariant if it is null
 	 * @return the value
 	 */
 	public static <T> T requirePresent(@Nullable T value, String message) {
--- a/core/src/main/java/org/tallycart/core/outcome/Outcome.java
+++ b/core/src/main/java/org/tallycart/core/outcome/Outcome.java
@@ -1,22 +1,25 @@
 package org.tallycart.core.outcome;
 
 /**
- * The closed set of outcomes a request can have.
+ * Outcome of a request.
  *
  * @since 0.1
  */
 public enum Outcome {
 
-	/** The whole answer was delivered and checked. */
+	/** The complete response was validated and delivered. */
 	COMPLETE,
 
-	/** No byte of any stage's call has left this system for this idempotency key. */
+	/** No byte of any stage call has been sent for this idempotency key. */
 	NOT_RUN,
 
-	/** Some stage ran, none has an unknown effect, and the answer is not complete. */
+	/**
+	 * A stage was executed, no stage has an unknown effect, and the response is
+	 * incomplete.
+	 */
 	FAILED,
 
-	/** A call that may not be repeated was sent, and its result is not known. */
+	/** A call that must not be repeated was sent, and its result is unknown. */
 	UNKNOWN
 
 }
--- a/core/src/main/java/org/tallycart/core/outcome/Reason.java
+++ b/core/src/main/java/org/tallycart/core/outcome/Reason.java
@@ -1,15 +1,15 @@
 package org.tallycart.core.outcome;
 
 /**
- * Why a request ended as it did.
+ * Reason for the outcome of a request.
  *
  * @since 0.1
  */
 public enum Reason {
 
-	/** The request ended well. */
+	/** The request was successful. */
 	OK,
-	/** The request itself is malformed. */
+	/** The request is malformed. */
 	BAD_REQUEST,
 	/** The request names a pipeline or workspace that is not declared. */
 	NOT_DECLARED,
@@ -19,9 +19,9 @@
 	KEY_EXPIRED,
 	/** The idempotency key was created in the future. */
 	KEY_FROM_FUTURE,
-	/** The key was created before its slot's present owner took over. */
+	/** The idempotency key was created before the current owner of its slot took over. */
 	KEY_BEFORE_TAKEOVER,
-	/** Another request holds the key and its result is not known. */
+	/** Another request holds the key and its result is unknown. */
 	KEY_HELD,
 	/** The slot of the key has no reachable owner. */
 	NO_SLOT_OWNER,
@@ -29,7 +29,7 @@
 	POLICY_REFUSED,
 	/** A policy shed the request under load. */
 	SHED,
-	/** The workspace is over its limit. */
+	/** The workspace has exceeded its limit. */
 	WORKSPACE_LIMIT,
 	/** A queue of this VM is full. */
 	QUEUE_FULL,
@@ -37,13 +37,13 @@
 	DEADLINE,
 	/** No upstream accepts the call. */
 	NO_UPSTREAM,
-	/** An upstream answered with an error. */
+	/** An upstream replied with an error. */
 	UPSTREAM_ERROR,
-	/** The connection broke after the call had begun. */
+	/** The connection was lost after the call had begun. */
 	CONNECTION_LOST,
 	/** The VM has no configuration yet, or is draining. */
 	NOT_READY,
-	/** The caller went away. */
+	/** The caller closed its connection. */
 	CALLER_GONE
 
 }
--- a/core/src/main/java/org/tallycart/core/outcome/UncaughtErrorReporter.java
+++ b/core/src/main/java/org/tallycart/core/outcome/UncaughtErrorReporter.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * Reports errors that a library would otherwise keep to itself to the handler of the
- * thread, which tells broken invariants from other failures.
+ * Passes errors that a library would otherwise swallow to the uncaught exception handler
+ * of the thread, which handles invariant violations differently from other failures.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -16,8 +16,8 @@
 	}
 
 	/**
-	 * Report an error, unless it is an ordinary failure of a connection, which the
-	 * connection's owner hears of anyway.
+	 * Report an error, unless it is an I/O error, which the owner of the connection is
+	 * notified of separately.
 	 * @param error the error
 	 */
 	public static void report(Throwable error) {
--- a/core/src/main/java/org/tallycart/core/outcome/package-info.java
+++ b/core/src/main/java/org/tallycart/core/outcome/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The closed set of request outcomes and the ledger that guards them.
+ * Request outcomes and the tracker that enforces their invariants.
  */
 @NullMarked
 package org.tallycart.core.outcome;
