--- a/core/src/main/java/org/tallycart/core/declaration/BalancerKind.java
+++ b/core/src/main/java/org/tallycart/core/declaration/BalancerKind.java
@@ -1,21 +1,30 @@
 package org.tallycart.core.declaration;
 
 /**
- * Ways to choose an upstream; the simple ones stay as baselines.
+ * Algorithm for selecting an upstream.
  *
  * @since 0.1
  */
 public enum BalancerKind {
 
-	/** The least of all, scored by own calls in flight plus reported load by age. */
+	/**
+	 * The lowest score of all upstreams, where the score is the calls in flight from this
+	 * VM plus the reported load, discounted by age.
+	 */
 	LEAST_LOAD_AGED,
-	/** Two random choices, scored by own calls in flight plus reported load by age. */
+	/**
+	 * The lower score of two random upstreams, with the score of
+	 * {@link #LEAST_LOAD_AGED}.
+	 */
 	TWO_CHOICES_AGED,
-	/** Two random choices, reported load taken as if it were fresh. */
+	/**
+	 * The lower score of two random upstreams, without discounting the reported load by
+	 * age.
+	 */
 	TWO_CHOICES,
-	/** Least calls in flight from this VM. */
+	/** The fewest calls in flight from this VM. */
 	LEAST_IN_FLIGHT,
-	/** One after the other. */
+	/** All upstreams in turn. */
 	ROUND_ROBIN
 
 }
--- a/core/src/main/java/org/tallycart/core/declaration/DeclarationReader.java
+++ b/core/src/main/java/org/tallycart/core/declaration/DeclarationReader.java
@@ -14,9 +14,9 @@
 import org.tallycart.core.ini.SectionReader;
 
 /**
- * Reads declarations from INI sections and checks that they agree with each other.
+ * Reads declarations from INI sections and checks their consistency.
  * <p>
- * Not thread-safe: one instance reads one set of sections.
+ * Not thread-safe: each instance reads one set of sections.
  *
  * @since 0.1
  */
@@ -61,20 +61,20 @@
 	/**
 	 * Read and check declarations.
 	 * @param sections the sections
-	 * @param policyChecker checks the rules of policies
-	 * @return the declarations, or everything that is wrong
+	 * @param policyChecker the checker for the rules of policies
+	 * @return the declarations, or all problems found
 	 */
 	public static Either<List<Problem>, Declarations> read(List<IniSection> sections, PolicyChecker policyChecker) {
 		DeclarationReader reader = new DeclarationReader(policyChecker);
-		sections.forEach(reader::section);
-		reader.references();
+		sections.forEach(reader::readSection);
+		reader.checkReferences();
 		if (!reader.problems.isEmpty()) {
 			return Either.left(reader.problems);
 		}
 		return Either.right(new Declarations(reader.pipelines, reader.services, reader.workspaces, reader.policies));
 	}
 
-	private void section(IniSection section) {
+	private void readSection(IniSection section) {
 		SectionReader reader = SectionReader.of(section, this.problems);
 		if (section.id().isEmpty()) {
 			this.problems.add(new Problem(section.file(), section.line(), 1,
@@ -83,10 +83,10 @@
 			return;
 		}
 		switch (section.kind()) {
-			case "pipeline" -> pipeline(section, reader);
-			case "service" -> service(section, reader);
-			case "workspace" -> workspace(section, reader);
-			case "policy" -> policy(section, reader);
+			case "pipeline" -> readPipeline(section, reader);
+			case "service" -> readService(section, reader);
+			case "workspace" -> readWorkspace(section, reader);
+			case "policy" -> readPolicy(section, reader);
 			default -> {
 				this.problems.add(new Problem(section.file(), section.line(), 1,
 						"'" + section.kind() + "' is not a kind of declaration",
@@ -97,7 +97,7 @@
 		reader.reportUnknownKeys();
 	}
 
-	private void pipeline(IniSection section, SectionReader reader) {
+	private void readPipeline(IniSection section, SectionReader reader) {
 		List<String> stages = reader.list("stages");
 		if (stages.isEmpty() || stages.size() > MAX_STAGES) {
 			reader.problem("stages", "has " + stages.size() + " stages", "from 1 to " + MAX_STAGES);
@@ -110,11 +110,11 @@
 		this.pipelineSections.put(section.id(), section);
 	}
 
-	private void service(IniSection section, SectionReader reader) {
+	private void readService(IniSection section, SectionReader reader) {
 		StageKind kind = reader.enumValue("kind", StageKind.class, StageKind.PLAIN);
 		List<Upstream> upstreams = new ArrayList<>();
 		for (String item : reader.list("upstreams")) {
-			upstream(item, reader, upstreams);
+			readUpstream(item, reader, upstreams);
 		}
 		this.services.put(section.id(),
 				new Service(section.id(), kind, reader.text("model", ""), reader.text("path", "/call"),
@@ -123,55 +123,55 @@
 						reader.enumValue("balancer", BalancerKind.class, BalancerKind.LEAST_LOAD_AGED), upstreams));
 	}
 
-	private void upstream(String item, SectionReader reader, List<Upstream> upstreams) {
-		String[] words = item.split("\\s+");
-		if (words.length < 3 || words.length > 4) {
+	private void readUpstream(String item, SectionReader reader, List<Upstream> upstreams) {
+		String[] fields = item.split("\\s+");
+		if (fields.length < 3 || fields.length > 4) {
 			reader.problem("upstreams", "'" + item + "' is not an upstream", "ID HOST:PORT DOMAIN [SLOTS]");
 			return;
 		}
-		Either<String, Address> address = Address.parse(words[1]);
+		Either<String, Address> address = Address.parse(fields[1]);
 		if (address.isLeft()) {
-			reader.problem("upstreams", "'" + words[1] + "' " + address.getLeft(), "host:port");
+			reader.problem("upstreams", "'" + fields[1] + "' " + address.getLeft(), "host:port");
 			return;
 		}
-		if (!this.upstreamIds.add(words[0])) {
-			reader.problem("upstreams", "'" + words[0] + "' is declared twice", "");
+		if (!this.upstreamIds.add(fields[0])) {
+			reader.problem("upstreams", "'" + fields[0] + "' is declared twice", "");
 		}
-		upstreams.add(new Upstream(words[0], address.get(), words[2], slots(words, reader)));
+		upstreams.add(new Upstream(fields[0], address.get(), fields[2], parseSlots(fields, reader)));
 	}
 
-	private static int slots(String[] words, SectionReader reader) {
-		if (words.length < 4) {
+	private static int parseSlots(String[] fields, SectionReader reader) {
+		if (fields.length < 4) {
 			return DEFAULT_SLOTS;
 		}
 		try {
-			int slots = Integer.parseInt(words[3]);
+			int slots = Integer.parseInt(fields[3]);
 			if (slots >= 1 && slots <= MAX_SLOTS) {
 				return slots;
 			}
 		}
 		catch (NumberFormatException ex) {
-			// Reported below, as a number out of bounds is.
+			// Reported below, like a number out of bounds.
 		}
-		reader.problem("upstreams", "'" + words[3] + "' is not a number of slots", "from 1 to " + MAX_SLOTS);
+		reader.problem("upstreams", "'" + fields[3] + "' is not a number of slots", "from 1 to " + MAX_SLOTS);
 		return DEFAULT_SLOTS;
 	}
 
-	private void workspace(IniSection section, SectionReader reader) {
+	private void readWorkspace(IniSection section, SectionReader reader) {
 		this.workspaces.put(section.id(),
 				new Workspace(section.id(), reader.decimal("weight", 1, 0.01, 1000),
 						reader.decimal("requests-per-second", 0, 0, MAX_RATE),
 						(int) reader.number("concurrency", 0, 0, (long) MAX_RATE)));
 	}
 
-	private void policy(IniSection section, SectionReader reader) {
+	private void readPolicy(IniSection section, SectionReader reader) {
 		PolicySource source = new PolicySource(section.id(), reader.text("admit", ""), reader.text("priority", ""),
 				reader.text("place", ""), reader.text("shed", ""), reader.flag("shadow", false));
 		this.problems.addAll(this.policyChecker.check(section, source));
 		this.policies.put(section.id(), source);
 	}
 
-	private void references() {
+	private void checkReferences() {
 		for (Pipeline pipeline : this.pipelines.values()) {
 			IniSection section = this.pipelineSections.getOrDefault(pipeline.id(), null);
 			if (section == null) {
@@ -186,27 +186,27 @@
 			if (!pipeline.policy().isEmpty() && !this.policies.containsKey(pipeline.policy())) {
 				reader.problem("policy", "'" + pipeline.policy() + "' is not a declared policy", "");
 			}
-			order(pipeline, reader);
+			checkStageOrder(pipeline, reader);
 		}
 	}
 
-	private void order(Pipeline pipeline, SectionReader reader) {
-		StageKind last = null;
+	private void checkStageOrder(Pipeline pipeline, SectionReader reader) {
+		StageKind previous = null;
 		for (String stage : pipeline.stages()) {
 			Service service = this.services.get(stage);
 			if (service == null) {
 				return;
 			}
-			if (last != null && (service.kind() == StageKind.PLAIN || last == StageKind.PLAIN)) {
-				reader.problem("stages", "a plain service stands among other stages",
-						"route to it by a pipeline of one stage");
+			if (previous != null && (service.kind() == StageKind.PLAIN || previous == StageKind.PLAIN)) {
+				reader.problem("stages", "a plain service cannot be combined with other stages",
+						"declare a pipeline with this stage only");
 				return;
 			}
-			if (last != null && service.kind().compareTo(last) < 0) {
+			if (previous != null && service.kind().compareTo(previous) < 0) {
 				reader.problem("stages", "'" + stage + "' stands after a later kind of stage",
 						"encode, retrieve, rerank, generate");
 			}
-			last = service.kind();
+			previous = service.kind();
 		}
 	}
 
--- a/core/src/main/java/org/tallycart/core/declaration/Pipeline.java
+++ b/core/src/main/java/org/tallycart/core/declaration/Pipeline.java
@@ -5,12 +5,12 @@
 /**
  * A named sequence of stages.
  *
- * @param id the name
- * @param stages the services, in order
- * @param deadlineMs the deadline where a request names none
- * @param maxAttempts attempts at one stage call, at most
- * @param policy the policy that governs it; may be empty
- * @param topDocuments how many documents go to generation
+ * @param id name of the pipeline
+ * @param stages names of the services, in order
+ * @param deadlineMs default deadline of a request, in milliseconds
+ * @param maxAttempts maximum number of attempts at a stage call
+ * @param policy name of the policy for the pipeline; may be empty
+ * @param topDocuments number of documents passed to generation
  * @since 0.1
  */
 public record Pipeline(String id, List<String> stages, long deadlineMs, int maxAttempts, String policy,
--- a/core/src/main/java/org/tallycart/core/declaration/PolicyChecker.java
+++ b/core/src/main/java/org/tallycart/core/declaration/PolicyChecker.java
@@ -14,10 +14,10 @@
 public interface PolicyChecker {
 
 	/**
-	 * Check a policy's rules.
-	 * @param section where the policy stands
+	 * Check the rules of a policy.
+	 * @param section the section that declares the policy
 	 * @param source the rules
-	 * @return what is wrong; empty if nothing is
+	 * @return the problems; empty if there are none
 	 */
 	List<Problem> check(IniSection section, PolicySource source);
 
--- a/core/src/main/java/org/tallycart/core/declaration/StageKind.java
+++ b/core/src/main/java/org/tallycart/core/declaration/StageKind.java
@@ -1,21 +1,21 @@
 package org.tallycart.core.declaration;
 
 /**
- * Kinds of upstream service, each with its own published interface.
+ * Kind of an upstream service, each with its own published interface.
  *
  * @since 0.1
  */
 public enum StageKind {
 
-	/** Turns a text into a vector. */
+	/** Encodes a text as a vector. */
 	ENCODE,
 	/** Finds documents for a vector. */
 	RETRIEVE,
-	/** Orders documents by relevance. */
+	/** Sorts documents by relevance. */
 	RERANK,
 	/** Generates text. */
 	GENERATE,
-	/** A plain service: JSON in, JSON out. */
+	/** A plain service with JSON requests and responses. */
 	PLAIN
 
 }
--- a/core/src/main/java/org/tallycart/core/declaration/Upstream.java
+++ b/core/src/main/java/org/tallycart/core/declaration/Upstream.java
@@ -3,12 +3,12 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * One worker of a service.
+ * An upstream of a service.
  *
- * @param id the name, unique in the fleet
- * @param address where it listens
- * @param domain its failure domain
- * @param slots how many calls it runs at a time
+ * @param id name of the upstream, unique in the fleet
+ * @param address listen address
+ * @param domain failure domain of the upstream
+ * @param slots maximum number of concurrent calls
  * @since 0.1
  */
 public record Upstream(String id, Address address, String domain, int slots) {
--- a/core/src/main/java/org/tallycart/core/declaration/Workspace.java
+++ b/core/src/main/java/org/tallycart/core/declaration/Workspace.java
@@ -1,12 +1,14 @@
 package org.tallycart.core.declaration;
 
 /**
- * A customer's share of the system.
+ * Weight and limits of a customer.
  *
- * @param id the name
- * @param weight its share where work of several workspaces waits
- * @param requestsPerSecond its limit over all VMs together; 0 for none
- * @param concurrency its limit of requests in flight over all VMs together; 0 for none
+ * @param id name of the workspace
+ * @param weight relative share of the workspace when requests of several workspaces are
+ * queued
+ * @param requestsPerSecond rate limit over all VMs together; 0 if there is none
+ * @param concurrency limit of requests in flight over all VMs together; 0 if there is
+ * none
  * @since 0.1
  */
 public record Workspace(String id, double weight, double requestsPerSecond, int concurrency) {
--- a/core/src/main/java/org/tallycart/core/declaration/package-info.java
+++ b/core/src/main/java/org/tallycart/core/declaration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The declarations that operators write, and the checks made before one is accepted.
+ * Declarations written by operators, and the checks made before they are accepted.
  */
 @NullMarked
 package org.tallycart.core.declaration;
--- a/core/src/test/java/org/tallycart/core/declaration/DeclarationReaderTests.java
+++ b/core/src/test/java/org/tallycart/core/declaration/DeclarationReaderTests.java
@@ -12,11 +12,11 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for {@link DeclarationReader} and the INI reading below it.
+ * Tests for {@link DeclarationReader} and {@link IniParser}.
  */
 public class DeclarationReaderTests {
 
-	private static final String GOOD = """
+	private static final String VALID = """
 			# the whole path
 			[service encode]
 			kind = encode
@@ -47,9 +47,9 @@
 	}
 
 	@Test
-	void goodDeclarationsAreRead() {
+	void validDeclarationsAreRead() {
 		List<Problem> none = new ArrayList<>();
-		Declarations read = DeclarationReader.read(IniParser.read("d.ini", GOOD, none), (section, source) -> List.of())
+		Declarations read = DeclarationReader.read(IniParser.read("d.ini", VALID, none), (section, source) -> List.of())
 			.get();
 		assertTrue(none.isEmpty());
 		assertEquals(read.pipelines().get("gloss").deadlineMs(), 5_000);
@@ -80,15 +80,15 @@
 	}
 
 	@Test(dataProvider = "mistakes")
-	void aMistakeIsReportedWithItsPlace(String good, String bad, String expected) {
-		List<String> found = problems(GOOD.replace(good, bad));
+	void mistakeIsReportedWithItsPosition(String valid, String invalid, String expected) {
+		List<String> found = problems(VALID.replace(valid, invalid));
 		assertTrue(found.stream().anyMatch((problem) -> problem.contains(expected)), found.toString());
 	}
 
 	@Test
-	void allMistakesAreReportedInOneGo() {
+	void allMistakesAreReportedTogether() {
 		List<String> found = problems(
-				GOOD.replace("deadline = 5s", "deadline = x").replace("weight = 2", "weight = y"));
+				VALID.replace("deadline = 5s", "deadline = x").replace("weight = 2", "weight = y"));
 		assertEquals(found.size(), 2, found.toString());
 	}
 
