--- a/core/src/main/java/org/tallycart/core/ini/Address.java
+++ b/core/src/main/java/org/tallycart/core/ini/Address.java
@@ -3,12 +3,12 @@
 import io.vavr.control.Either;
 
 /**
- * A host, by IP number or name, and a port.
+ * A host, as an IP address or name, and a port.
  * <p>
  * Immutable and thread-safe.
  *
  * @param host the host
- * @param port the port; 0 asks for a free one
+ * @param port the port; 0 selects a free port
  * @since 0.1
  */
 public record Address(String host, int port) {
@@ -18,7 +18,7 @@
 	/**
 	 * Parse an address.
 	 * @param text {@code host:port}
-	 * @return the address, or what is wrong
+	 * @return the address, or an error message
 	 */
 	public static Either<String, Address> parse(String text) {
 		int colon = text.lastIndexOf(':');
--- a/core/src/main/java/org/tallycart/core/ini/Durations.java
+++ b/core/src/main/java/org/tallycart/core/ini/Durations.java
@@ -5,7 +5,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Durations written with a unit.
+ * Parser for durations with a unit.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -13,13 +13,13 @@
  */
 public final class Durations {
 
-	private static final Pattern FORM = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
+	private static final Pattern PATTERN = Pattern.compile("(\\d{1,9})(ms|s|m|h)");
 
-	private static final long SECOND = 1000;
+	private static final long SECOND_MS = 1000;
 
-	private static final long MINUTE = 60 * SECOND;
+	private static final long MINUTE_MS = 60 * SECOND_MS;
 
-	private static final long HOUR = 60 * MINUTE;
+	private static final long HOUR_MS = 60 * MINUTE_MS;
 
 	private Durations() {
 	}
@@ -27,20 +27,20 @@
 	/**
 	 * Parse a duration.
 	 * @param text the text, such as {@code 250ms}
-	 * @return milliseconds, or empty if the text is not a duration
+	 * @return the duration in milliseconds, or empty if the text is not a duration
 	 */
 	public static Optional<Long> parseMs(String text) {
-		Matcher matcher = FORM.matcher(text);
+		Matcher matcher = PATTERN.matcher(text);
 		if (!matcher.matches()) {
 			return Optional.empty();
 		}
-		long unit = switch (matcher.group(2)) {
+		long unitMs = switch (matcher.group(2)) {
 			case "ms" -> 1;
-			case "s" -> SECOND;
-			case "m" -> MINUTE;
-			default -> HOUR;
+			case "s" -> SECOND_MS;
+			case "m" -> MINUTE_MS;
+			default -> HOUR_MS;
 		};
-		return Optional.of(Long.parseLong(matcher.group(1)) * unit);
+		return Optional.of(Long.parseLong(matcher.group(1)) * unitMs);
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/ini/IniParser.java
+++ b/core/src/main/java/org/tallycart/core/ini/IniParser.java
@@ -15,8 +15,8 @@
 import org.ini4j.Profile;
 
 /**
- * Reader of INI text. Values are read by ini4j; a second pass over the lines finds where
- * each key stands, and the mistakes that ini4j passes over.
+ * Parser for INI text. Values are read by ini4j; a separate pass over the lines
+ * determines the line of each key and detects mistakes that ini4j ignores.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -28,18 +28,18 @@
 	}
 
 	/**
-	 * Read a text.
-	 * @param file the name to report problems under
+	 * Parse a text.
+	 * @param file the file name to use in problems
 	 * @param text the text
-	 * @param problems where problems are added
+	 * @param problems the list to which problems are added
 	 * @return the sections that could be read, in order
 	 */
 	public static List<IniSection> read(String file, String text, List<Problem> problems) {
 		Map<String, Map<String, Integer>> lines = new HashMap<>();
 		Map<String, Integer> sectionLines = new HashMap<>();
-		int before = problems.size();
-		index(file, text, lines, sectionLines, problems);
-		if (problems.size() > before) {
+		int problemsBefore = problems.size();
+		indexLines(file, text, lines, sectionLines, problems);
+		if (problems.size() > problemsBefore) {
 			return List.of();
 		}
 		Ini ini = load(text);
@@ -62,12 +62,13 @@
 			ini.load(new StringReader(text));
 		}
 		catch (IOException ex) {
-			throw new IllegalArgumentException("text that passed the line check is not INI: " + ex.getMessage(), ex);
+			throw new IllegalArgumentException("ini4j cannot parse text that passed the line check: " + ex.getMessage(),
+					ex);
 		}
 		return ini;
 	}
 
-	private static void index(String file, String text, Map<String, Map<String, Integer>> lines,
+	private static void indexLines(String file, String text, Map<String, Map<String, Integer>> lines,
 			Map<String, Integer> sectionLines, List<Problem> problems) {
 		String section = null;
 		int number = 0;
@@ -78,7 +79,7 @@
 				continue;
 			}
 			if (line.startsWith("[")) {
-				section = sectionName(file, line, number, sectionLines, problems);
+				section = addSection(file, line, number, sectionLines, problems);
 				continue;
 			}
 			int equals = line.indexOf('=');
@@ -90,50 +91,50 @@
 				problems.add(new Problem(file, number, column, "a line that is neither a section nor key = value", ""));
 			}
 			else {
-				key(file, line.substring(0, equals).strip(), number, column,
+				addKey(file, line.substring(0, equals).strip(), number, column,
 						lines.computeIfAbsent(section, (name) -> new HashMap<>()), problems);
 			}
 		}
 	}
 
-	private static String sectionName(String file, String line, int number, Map<String, Integer> sectionLines,
+	private static String addSection(String file, String line, int number, Map<String, Integer> sectionLines,
 			List<Problem> problems) {
 		String name = line.endsWith("]") ? line.substring(1, line.length() - 1).strip() : "";
 		if (name.isEmpty()) {
-			problems.add(new Problem(file, number, 1, "a section needs a name and a closing bracket", "[name]"));
+			problems.add(new Problem(file, number, 1, "a section header needs a name and a closing bracket", "[name]"));
 		}
-		Integer first = sectionLines.putIfAbsent(name, number);
-		if (first != null) {
+		Integer firstLine = sectionLines.putIfAbsent(name, number);
+		if (firstLine != null) {
 			problems.add(new Problem(file, number, 1, "section [" + name + "] stands twice",
-					"it stands first in line " + first));
+					"it is first defined in line " + firstLine));
 		}
 		return name;
 	}
 
-	private static void key(String file, String key, int number, int column, Map<String, Integer> keys,
+	private static void addKey(String file, String key, int number, int column, Map<String, Integer> keys,
 			List<Problem> problems) {
 		if (key.indexOf(':') >= 0) {
-			problems.add(new Problem(file, number, column, "key '" + key + "' holds a colon", "write key = value"));
+			problems.add(new Problem(file, number, column, "key '" + key + "' contains a colon", "write key = value"));
 		}
-		Integer first = keys.putIfAbsent(key, number);
-		if (first != null) {
-			problems.add(new Problem(file, number, column, "key '" + key + "' stands twice",
-					"it stands first in line " + first));
+		Integer firstLine = keys.putIfAbsent(key, number);
+		if (firstLine != null) {
+			problems.add(new Problem(file, number, column, "key '" + key + "' is defined twice",
+					"it is first defined in line " + firstLine));
 		}
 	}
 
 	/**
-	 * Return the names that stand in two of several files.
-	 * @param sections sections of all files
-	 * @return one problem for each second section of a name
+	 * Find sections that are defined in more than one file.
+	 * @param sections the sections of all files
+	 * @return one problem for each repeated section
 	 */
 	public static List<Problem> findDuplicateSections(List<IniSection> sections) {
-		Set<String> seen = new HashSet<>();
+		Set<String> names = new HashSet<>();
 		List<Problem> problems = new ArrayList<>();
 		for (IniSection section : sections) {
-			if (!seen.add(section.name())) {
+			if (!names.add(section.name())) {
 				problems.add(new Problem(section.file(), section.line(), 1,
-						"section [" + section.name() + "] stands in another file too", ""));
+						"section [" + section.name() + "] is also defined in another file", ""));
 			}
 		}
 		return problems;
--- a/core/src/main/java/org/tallycart/core/ini/IniSection.java
+++ b/core/src/main/java/org/tallycart/core/ini/IniSection.java
@@ -4,15 +4,15 @@
 import java.util.SortedMap;
 
 /**
- * One section of an INI text.
+ * A section of an INI text.
  * <p>
  * Immutable and thread-safe.
  *
- * @param file the file it stands in
- * @param name the name between the brackets
- * @param line the line of the name
- * @param values the values by key
- * @param lines the line of each key
+ * @param file file that contains the section
+ * @param name name between the brackets
+ * @param line line of the section header
+ * @param values values by key
+ * @param lines lines of the keys
  * @since 0.1
  */
 public record IniSection(String file, String name, int line, SortedMap<String, String> values,
@@ -29,7 +29,7 @@
 
 	/**
 	 * Return the rest of the name after its first word.
-	 * @return the name, or an empty text
+	 * @return the rest, or an empty string if there is none
 	 */
 	public String id() {
 		int space = this.name.indexOf(' ');
--- a/core/src/main/java/org/tallycart/core/ini/SectionReader.java
+++ b/core/src/main/java/org/tallycart/core/ini/SectionReader.java
@@ -9,8 +9,9 @@
 import java.util.Set;
 
 /**
- * Typed, bounded reading of one section. Every problem is collected; a bad value yields
- * the default, so that reading goes on and all problems are told in one go.
+ * Reads typed and range-checked values of a section. Problems are collected; an invalid
+ * value yields the default, so that reading continues and all problems are reported
+ * together.
  * <p>
  * Not thread-safe.
  *
@@ -24,7 +25,7 @@
 
 	private final List<Problem> problems;
 
-	private final Set<String> known = new HashSet<>();
+	private final Set<String> readKeys = new HashSet<>();
 
 	private SectionReader(IniSection section, List<Problem> problems) {
 		this.section = section;
@@ -34,7 +35,7 @@
 	/**
 	 * Create a reader.
 	 * @param section the section
-	 * @param problems where problems are added
+	 * @param problems the list to which problems are added
 	 * @return the reader
 	 */
 	public static SectionReader of(IniSection section, List<Problem> problems) {
@@ -42,9 +43,9 @@
 	}
 
 	/**
-	 * Read a text that must be there.
+	 * Read a required text.
 	 * @param key the key
-	 * @return the text, or an empty text after a problem
+	 * @return the text, or an empty string if the key is missing
 	 */
 	public String text(String key) {
 		Optional<String> value = value(key);
@@ -58,29 +59,29 @@
 	/**
 	 * Read a text.
 	 * @param key the key
-	 * @param fallback the default
+	 * @param defaultValue the default
 	 * @return the text
 	 */
-	public String text(String key, String fallback) {
-		return value(key).orElse(fallback);
+	public String text(String key, String defaultValue) {
+		return value(key).orElse(defaultValue);
 	}
 
 	/**
-	 * Read one of several words.
-	 * @param <E> the type
+	 * Read an enum value.
+	 * @param <E> the enum type
 	 * @param key the key
-	 * @param type the type whose names, in lower case, are the words
-	 * @param fallback the default, or null if the key must be there
+	 * @param type the enum type, whose constants are written in lower case with hyphens
+	 * @param defaultValue the default
 	 * @return the value
 	 */
-	public <E extends Enum<E>> E enumValue(String key, Class<E> type, E fallback) {
+	public <E extends Enum<E>> E enumValue(String key, Class<E> type, E defaultValue) {
 		Optional<String> value = value(key);
 		if (value.isEmpty()) {
-			return fallback;
+			return defaultValue;
 		}
-		String wanted = value.get();
+		String word = value.get();
 		for (E constant : type.getEnumConstants()) {
-			if (constant.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(wanted)) {
+			if (constant.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(word)) {
 				return constant;
 			}
 		}
@@ -88,101 +89,101 @@
 				Arrays.stream(type.getEnumConstants())
 					.map((constant) -> constant.name().toLowerCase(Locale.ROOT).replace('_', '-'))
 					.toList());
-		problem(key, "'" + wanted + "' is not a known word", "one of " + names);
-		return fallback;
+		problem(key, "'" + word + "' is not a known word", "one of " + names);
+		return defaultValue;
 	}
 
 	/**
-	 * Read a whole number within bounds.
+	 * Read an integer within bounds.
 	 * @param key the key
-	 * @param fallback the default
-	 * @param low the least value
-	 * @param high the greatest value
+	 * @param defaultValue the default
+	 * @param min the minimum value
+	 * @param max the maximum value
 	 * @return the number
 	 */
-	public long number(String key, long fallback, long low, long high) {
+	public long number(String key, long defaultValue, long min, long max) {
 		Optional<String> value = value(key);
 		if (value.isEmpty()) {
-			return fallback;
+			return defaultValue;
 		}
 		try {
-			return bounded(key, Long.parseLong(value.get()), fallback, low, high);
+			return checkBounds(key, Long.parseLong(value.get()), defaultValue, min, max);
 		}
 		catch (NumberFormatException ex) {
 			problem(key, "'" + value.get() + "' is not a whole number", "no unit and no fraction");
-			return fallback;
+			return defaultValue;
 		}
 	}
 
 	/**
 	 * Read a decimal number within bounds.
 	 * @param key the key
-	 * @param fallback the default
-	 * @param low the least value
-	 * @param high the greatest value
+	 * @param defaultValue the default
+	 * @param min the minimum value
+	 * @param max the maximum value
 	 * @return the number
 	 */
-	public double decimal(String key, double fallback, double low, double high) {
+	public double decimal(String key, double defaultValue, double min, double max) {
 		Optional<String> value = value(key);
 		if (value.isEmpty()) {
-			return fallback;
+			return defaultValue;
 		}
 		try {
 			double number = Double.parseDouble(value.get());
-			if (number >= low && number <= high) {
+			if (number >= min && number <= max) {
 				return number;
 			}
-			problem(key, value.get() + " is out of bounds", "from " + low + " to " + high);
+			problem(key, value.get() + " is out of bounds", "from " + min + " to " + max);
 		}
 		catch (NumberFormatException ex) {
 			problem(key, "'" + value.get() + "' is not a number", NO_HINT);
 		}
-		return fallback;
+		return defaultValue;
 	}
 
 	/**
-	 * Read a duration with its unit.
+	 * Read a duration with a unit.
 	 * @param key the key
-	 * @param fallbackMs the default, in milliseconds
-	 * @param lowMs the least value, in milliseconds
-	 * @param highMs the greatest value, in milliseconds
-	 * @return milliseconds
+	 * @param defaultMs the default, in milliseconds
+	 * @param minMs the minimum value, in milliseconds
+	 * @param maxMs the maximum value, in milliseconds
+	 * @return the duration, in milliseconds
 	 */
-	public long durationMs(String key, long fallbackMs, long lowMs, long highMs) {
+	public long durationMs(String key, long defaultMs, long minMs, long maxMs) {
 		Optional<String> value = value(key);
 		if (value.isEmpty()) {
-			return fallbackMs;
+			return defaultMs;
 		}
 		Optional<Long> parsed = Durations.parseMs(value.get());
 		if (parsed.isEmpty()) {
 			problem(key, "'" + value.get() + "' is not a duration", "a whole number with ms, s, m or h, as in 250ms");
-			return fallbackMs;
+			return defaultMs;
 		}
-		return bounded(key, parsed.get(), fallbackMs, lowMs, highMs);
+		return checkBounds(key, parsed.get(), defaultMs, minMs, maxMs);
 	}
 
 	/**
-	 * Read true or false.
+	 * Read a boolean.
 	 * @param key the key
-	 * @param fallback the default
+	 * @param defaultValue the default
 	 * @return the value
 	 */
-	public boolean flag(String key, boolean fallback) {
+	public boolean flag(String key, boolean defaultValue) {
 		Optional<String> value = value(key);
 		if (value.isEmpty()) {
-			return fallback;
+			return defaultValue;
 		}
 		if (!value.get().equals("true") && !value.get().equals("false")) {
 			problem(key, "'" + value.get() + "' is neither true nor false", NO_HINT);
-			return fallback;
+			return defaultValue;
 		}
 		return value.get().equals("true");
 	}
 
 	/**
-	 * Read a list of texts parted by commas.
+	 * Read a comma-separated list of texts.
 	 * @param key the key
-	 * @return the texts, without blanks around them
+	 * @return the texts, without surrounding whitespace
 	 */
 	public List<String> list(String key) {
 		List<String> items = new ArrayList<>();
@@ -197,11 +198,11 @@
 	/**
 	 * Read an address.
 	 * @param key the key
-	 * @param fallback the default, as {@code host:port}
+	 * @param defaultValue the default, as {@code host:port}
 	 * @return the address
 	 */
-	public Address address(String key, String fallback) {
-		String value = value(key).orElse(fallback);
+	public Address address(String key, String defaultValue) {
+		String value = value(key).orElse(defaultValue);
 		return Address.parse(value).getOrElseGet((error) -> {
 			problem(key, "'" + value + "' " + error, "host:port");
 			return new Address("0.0.0.0", 0);
@@ -209,10 +210,10 @@
 	}
 
 	/**
-	 * Report a problem at a key.
+	 * Report a problem with a key.
 	 * @param key the key
-	 * @param message what is wrong
-	 * @param hint what to do
+	 * @param message the description of the problem
+	 * @param hint a hint for solving the problem; may be empty
 	 */
 	public void problem(String key, String message, String hint) {
 		int line = this.section.lines().getOrDefault(key, this.section.line());
@@ -220,26 +221,26 @@
 	}
 
 	/**
-	 * Report every key of the section that nothing has read.
+	 * Report every key of the section that has not been read.
 	 */
 	public void reportUnknownKeys() {
 		for (String key : this.section.values().keySet()) {
-			if (!this.known.contains(key)) {
+			if (!this.readKeys.contains(key)) {
 				problem(key, "is not a key of [" + this.section.kind() + "]",
-						"known here: " + String.join(", ", new java.util.TreeSet<>(this.known)));
+						"known here: " + String.join(", ", new java.util.TreeSet<>(this.readKeys)));
 			}
 		}
 	}
 
 	private Optional<String> value(String key) {
-		this.known.add(key);
+		this.readKeys.add(key);
 		return Optional.ofNullable(this.section.values().get(key)).map(String::strip);
 	}
 
-	private long bounded(String key, long number, long fallback, long low, long high) {
-		if (number < low || number > high) {
-			problem(key, number + " is out of bounds", "from " + low + " to " + high);
-			return fallback;
+	private long checkBounds(String key, long number, long defaultValue, long min, long max) {
+		if (number < min || number > max) {
+			problem(key, number + " is out of bounds", "from " + min + " to " + max);
+			return defaultValue;
 		}
 		return number;
 	}
--- a/core/src/main/java/org/tallycart/core/ini/package-info.java
+++ b/core/src/main/java/org/tallycart/core/ini/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Checked reading of INI text, with every problem reported at once.
+ * Parsing and validation of INI text, with all problems reported together.
  */
 @NullMarked
 package org.tallycart.core.ini;
