--- a/core/src/main/java/org/tallycart/core/policy/BuiltInPolicy.java
+++ b/core/src/main/java/org/tallycart/core/policy/BuiltInPolicy.java
@@ -1,7 +1,7 @@
 package org.tallycart.core.policy;
 
 /**
- * The rules in force where an operator has written none.
+ * Default policy, used for rules that the operator has not defined.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -9,7 +9,7 @@
  */
 public final class BuiltInPolicy implements Policy {
 
-	/** The only instance. */
+	/** The singleton instance. */
 	public static final BuiltInPolicy INSTANCE = new BuiltInPolicy();
 
 	private BuiltInPolicy() {
--- a/core/src/main/java/org/tallycart/core/policy/Policy.java
+++ b/core/src/main/java/org/tallycart/core/policy/Policy.java
@@ -1,8 +1,8 @@
 package org.tallycart.core.policy;
 
 /**
- * The four decisions an operator's policy makes. A rule that the policy leaves out, or
- * that fails at run time, decides as {@link BuiltInPolicy} does.
+ * Decisions made by the policy of an operator. For a rule that is not defined or that
+ * fails at run time, the decision of {@link BuiltInPolicy} applies.
  * <p>
  * Implementations are thread-safe and have no side effects.
  *
@@ -11,31 +11,31 @@
 public interface Policy {
 
 	/**
-	 * Decide whether a request may enter.
+	 * Decide whether to admit a request.
 	 * @param request the request
-	 * @return true to let it in
+	 * @return true to admit it
 	 */
 	boolean admit(RequestFacts request);
 
 	/**
-	 * Decide a request's priority.
+	 * Determine the priority of a request.
 	 * @param request the request
 	 * @return the priority; a higher one goes first
 	 */
 	long priority(RequestFacts request);
 
 	/**
-	 * Add to an upstream's score.
+	 * Determine an addition to the score of an upstream.
 	 * @param request the request
 	 * @param upstream the upstream
-	 * @return what to add, in calls; 0 changes nothing, more makes it less preferred
+	 * @return the addition, in calls; a positive value makes the upstream less preferred
 	 */
 	double place(RequestFacts request, UpstreamFacts upstream);
 
 	/**
 	 * Decide whether to shed a request under load.
 	 * @param request the request
-	 * @param load the load it meets
+	 * @param load the load of this VM at the stage
 	 * @return true to refuse it
 	 */
 	boolean shed(RequestFacts request, LoadFacts load);
--- a/core/src/main/java/org/tallycart/core/policy/RecordedDecision.java
+++ b/core/src/main/java/org/tallycart/core/policy/RecordedDecision.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 
 /**
- * What a policy knew of a request when it arrived, and the priority it gave. Entries
- * record one for each request, so that a candidate policy can be tried on real ones.
+ * The facts of a request on arrival and the priority assigned by the policy. Entries
+ * record one per request, so that a candidate policy can be tested on recorded requests.
  * <p>
  * Immutable and thread-safe.
  *
- * @param facts the facts
- * @param priority the priority given
+ * @param facts the facts of the request
+ * @param priority the assigned priority
  * @since 0.1
  */
 public record RecordedDecision(RequestFacts facts, long priority) {
@@ -20,8 +20,8 @@
 
 	/**
 	 * Create a record.
-	 * @param facts the facts
-	 * @param priority the priority given
+	 * @param facts the facts of the request
+	 * @param priority the assigned priority
 	 * @return the record
 	 */
 	public static RecordedDecision of(RequestFacts facts, long priority) {
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * Write the record as words {@code name=value}.
+	 * Encode the record as a sequence of {@code name=value} pairs.
 	 * @return the text
 	 */
 	public String encode() {
@@ -40,25 +40,25 @@
 	}
 
 	/**
-	 * Read a record.
+	 * Decode a record.
 	 * @param text the text
-	 * @return the record, or empty if the text is none
+	 * @return the record, or empty if the text is not a record
 	 */
 	public static Optional<RecordedDecision> decode(String text) {
-		Map<String, String> words = new HashMap<>();
-		for (String word : text.split(SEPARATOR)) {
-			int equals = word.indexOf('=');
+		Map<String, String> values = new HashMap<>();
+		for (String pair : text.split(SEPARATOR)) {
+			int equals = pair.indexOf('=');
 			if (equals > 0) {
-				words.put(word.substring(0, equals), word.substring(equals + 1));
+				values.put(pair.substring(0, equals), pair.substring(equals + 1));
 			}
 		}
 		try {
-			RequestFacts facts = new RequestFacts(words.getOrDefault("workspace", ""),
-					words.getOrDefault("pipeline", ""), words.getOrDefault("label", ""),
-					Boolean.parseBoolean(words.get("repeatable")),
-					Long.parseLong(words.getOrDefault("remaining_ms", "")),
-					Long.parseLong(words.getOrDefault("max_tokens", "")));
-			return Optional.of(new RecordedDecision(facts, Long.parseLong(words.getOrDefault("priority", ""))));
+			RequestFacts facts = new RequestFacts(values.getOrDefault("workspace", ""),
+					values.getOrDefault("pipeline", ""), values.getOrDefault("label", ""),
+					Boolean.parseBoolean(values.get("repeatable")),
+					Long.parseLong(values.getOrDefault("remaining_ms", "")),
+					Long.parseLong(values.getOrDefault("max_tokens", "")));
+			return Optional.of(new RecordedDecision(facts, Long.parseLong(values.getOrDefault("priority", ""))));
 		}
 		catch (NumberFormatException ex) {
 			return Optional.empty();
--- a/core/src/main/java/org/tallycart/core/policy/UpstreamFacts.java
+++ b/core/src/main/java/org/tallycart/core/policy/UpstreamFacts.java
@@ -1,15 +1,15 @@
 package org.tallycart.core.policy;
 
 /**
- * What a policy may know of an upstream.
+ * The facts about an upstream, as input of a policy.
  *
- * @param id the upstream
- * @param domain its failure domain
- * @param sameDomain whether that is this VM's failure domain
- * @param inFlight calls in flight from this VM
- * @param reported calls it reported, running and waiting
- * @param reportAgeMs age of that report, in milliseconds; -1 if there is none
- * @param slots how many calls it runs at a time
+ * @param id id of the upstream
+ * @param domain failure domain of the upstream
+ * @param sameDomain whether the upstream is in the failure domain of this VM
+ * @param inFlight number of calls in flight from this VM
+ * @param reported number of running and queued calls that it reported
+ * @param reportAgeMs age of the report, in milliseconds; -1 if there is none
+ * @param slots maximum number of concurrent calls
  * @since 0.1
  */
 public record UpstreamFacts(String id, String domain, boolean sameDomain, int inFlight, int reported, long reportAgeMs,
--- a/core/src/main/java/org/tallycart/core/policy/package-info.java
+++ b/core/src/main/java/org/tallycart/core/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The interface of operator policies and the built-in rules.
+ * Interface of operator policies, their inputs, and the built-in policy.
  */
 @NullMarked
 package org.tallycart.core.policy;
