--- a/core/src/main/java/org/tallycart/core/time/HybridClock.java
+++ b/core/src/main/java/org/tallycart/core/time/HybridClock.java
@@ -1,10 +1,11 @@
 package org.tallycart.core.time;
 
 /**
- * Hybrid logical clock: close to wall time, and never behind anything it has seen.
+ * Hybrid logical clock: stays close to the wall clock and never falls behind a timestamp
+ * it has returned or received.
  * <p>
- * Invariant: each value returned is greater than every value returned or received before.
- * Thread-safe.
+ * Invariant: each returned timestamp is greater than all timestamps returned or received
+ * before. Thread-safe.
  *
  * @since 0.1
  */
@@ -13,9 +14,9 @@
 	private HybridTimestamp last = HybridTimestamp.ZERO;
 
 	/**
-	 * Stamp a local event.
-	 * @param wallMs the wall clock now, in milliseconds
-	 * @return a timestamp after all earlier ones
+	 * Create a timestamp for a local event.
+	 * @param wallMs the current wall clock time, in milliseconds
+	 * @return a timestamp greater than all earlier ones
 	 */
 	public synchronized HybridTimestamp tick(long wallMs) {
 		this.last = (wallMs > this.last.physicalMs()) ? new HybridTimestamp(wallMs, 0)
@@ -26,8 +27,8 @@
 	/**
 	 * Merge a timestamp received from another process.
 	 * @param remote the received timestamp
-	 * @param wallMs the wall clock now, in milliseconds
-	 * @return a timestamp after the received one and all earlier ones
+	 * @param wallMs the current wall clock time, in milliseconds
+	 * @return a timestamp greater than the received one and all earlier ones
 	 */
 	public synchronized HybridTimestamp receive(HybridTimestamp remote, long wallMs) {
 		if (remote.compareTo(this.last) > 0) {
--- a/core/src/main/java/org/tallycart/core/time/HybridTimestamp.java
+++ b/core/src/main/java/org/tallycart/core/time/HybridTimestamp.java
@@ -1,12 +1,12 @@
 package org.tallycart.core.time;
 
 /**
- * A point in hybrid logical time.
+ * A timestamp of a hybrid logical clock.
  * <p>
  * Invariant: {@code logical} orders events within one physical millisecond. Immutable and
  * thread-safe.
  *
- * @param physicalMs wall clock milliseconds since the epoch
+ * @param physicalMs wall clock time, in milliseconds since the epoch
  * @param logical counter within the millisecond
  * @since 0.1
  * @see HybridClock
@@ -21,7 +21,7 @@
 	private static final long LOGICAL_MASK = (1L << LOGICAL_BITS) - 1;
 
 	/**
-	 * Pack this timestamp into one long whose order is the order of timestamps.
+	 * Encode this timestamp as a long with the same ordering.
 	 * @return the packed form
 	 */
 	public long packed() {
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * Unpack a timestamp made by {@link #packed()}.
+	 * Decode a timestamp encoded by {@link #packed()}.
 	 * @param packed the packed form
 	 * @return the timestamp
 	 */
--- a/core/src/main/java/org/tallycart/core/time/package-info.java
+++ b/core/src/main/java/org/tallycart/core/time/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Hybrid logical time, so that events of many processes sort by cause and effect.
+ * Hybrid logical clock for ordering the events of several processes by causality.
  */
 @NullMarked
 package org.tallycart.core.time;
