--- a/core/src/main/java/org/tallycart/core/upstream/ColdStartLimiter.java
+++ b/core/src/main/java/org/tallycart/core/upstream/ColdStartLimiter.java
@@ -12,47 +12,45 @@
 import org.tallycart.core.membership.RendezvousHash;
 
 /**
- * Keeps what all VMs together send to a cold upstream under the rate that it bears;
- * beyond that it would crash.
+ * Limits the request rate that all VMs together send to an upstream in its cold start,
+ * since an upstream crashes above that rate.
  * <p>
- * Cold upstreams get nothing while enough others are warm. Where they are needed, a few
- * VMs that all VMs rank alike for an upstream may send to it, each at its part of the
- * rate, so the limit holds without a message: also while VMs are cut off from each other,
- * and with some that know only a part of the others. A VM that may send to none of them
- * says at once when they will be warm.
+ * Cold upstreams receive no requests while enough others are warm. Otherwise a few VMs,
+ * selected for each upstream by rendezvous hash, may send to it, each at its share of the
+ * rate. The limit therefore holds without coordination, also during a network partition
+ * and while VMs have incomplete lists of each other.
  * <p>
- * Invariant: a VM that does not know of itself sends nothing to a cold upstream. Not
- * thread-safe: belongs to one event loop.
+ * Invariant: a VM that is not in its own list of VMs sends nothing to a cold upstream.
+ * Not thread-safe: belongs to one event loop.
  *
  * @since 0.1
  */
 public final class ColdStartLimiter {
 
 	/**
-	 * Share of a service's upstreams that have to be warm for the cold ones to be left
-	 * alone. Engines are at a quarter of what they can do, so a third of them bears all
-	 * the load for the few seconds that the others stay cold.
+	 * Fraction of a service's upstreams above which only the warm ones are used. Their
+	 * spare capacity covers the load of the others during a cold start.
 	 */
-	private static final double ENOUGH_WARM = 1.0 / 3;
+	private static final double MIN_WARM_FRACTION = 1.0 / 3;
 
 	/**
-	 * VMs that may send to one cold upstream. Each begins with one request in store, so
-	 * few of them; one alone may be down.
+	 * Number of VMs that may send to one cold upstream. More than one tolerates failed
+	 * VMs; each adds a burst of one request.
 	 */
-	private static final int SENDERS = 3;
+	private static final int SENDERS_PER_UPSTREAM = 3;
 
 	/**
-	 * Part of the rate that is used. Two groups of VMs that know of different others name
-	 * twice as many senders: even those send less than one and a half times the rate and
-	 * five, which {@code ColdLimitTests} counts.
+	 * Fraction of the rate that is used. Two groups of VMs with different lists may
+	 * select twice as many senders; the total then still stays below 1.5 times the rate
+	 * plus five requests.
 	 */
-	private static final double USED_SHARE = 0.6;
+	private static final double USED_RATE_FRACTION = 0.6;
 
-	/** How long a rank of VMs is used before it is made again, in milliseconds. */
-	private static final long RANK_MS = 1_000;
+	/** Time for which a ranking of VMs is reused, in milliseconds. */
+	private static final long RANKING_TTL_MS = 1_000;
 
-	/** What is known of an upstream that was not asked for this long is dropped. */
-	private static final long FORGET_MS = 30_000;
+	/** Time after which the state of an unused upstream is dropped, in milliseconds. */
+	private static final long IDLE_EXPIRY_MS = 30_000;
 
 	private final String vm;
 
@@ -60,14 +58,14 @@
 
 	private final ToDoubleFunction<String> ratePerSecond;
 
-	private final Map<String, UpstreamShare> parts = new HashMap<>();
+	private final Map<String, UpstreamShare> shares = new HashMap<>();
 
 	/**
-	 * Create a limit.
-	 * @param vm this VM
-	 * @param vms gives the VMs that are known, this one among them
-	 * @param ratePerSecond gives what a cold upstream of a service bears, in requests a
-	 * second; 0 where there is no limit
+	 * Create a limiter.
+	 * @param vm the name of this VM
+	 * @param vms supplies the names of all known VMs, including this one
+	 * @param ratePerSecond returns the rate that a cold upstream of a service tolerates,
+	 * in requests per second; 0 for no limit
 	 */
 	public ColdStartLimiter(String vm, Supplier<? extends Collection<String>> vms,
 			ToDoubleFunction<String> ratePerSecond) {
@@ -77,71 +75,72 @@
 	}
 
 	/**
-	 * Return which upstreams a request may be sent to now.
-	 * @param candidates upstreams of one service
-	 * @param nowMs the steady clock
-	 * @return those that are warm, and cold ones where they are needed and this VM may
+	 * Return the upstreams to which a request may be sent now.
+	 * @param candidates the upstreams of one service
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the warm upstreams, and the cold ones if they are needed and this VM may
 	 * send to them
 	 */
 	public List<UpstreamState> admit(List<UpstreamState> candidates, long nowMs) {
 		List<UpstreamState> warm = new ArrayList<>(candidates);
-		warm.removeIf((state) -> limited(state, nowMs));
-		if (warm.size() == candidates.size() || warm.size() > candidates.size() * ENOUGH_WARM) {
+		warm.removeIf((state) -> isLimited(state, nowMs));
+		if (warm.size() == candidates.size() || warm.size() > candidates.size() * MIN_WARM_FRACTION) {
 			return warm;
 		}
 		List<UpstreamState> admitted = new ArrayList<>(candidates);
-		admitted.removeIf((state) -> limited(state, nowMs) && !mayTake(state, nowMs));
+		admitted.removeIf((state) -> isLimited(state, nowMs) && !maySend(state, nowMs));
 		return admitted;
 	}
 
-	private boolean limited(UpstreamState state, long nowMs) {
-		return state.cold(nowMs) && this.ratePerSecond.applyAsDouble(state.entry().service()) > 0;
+	private boolean isLimited(UpstreamState state, long nowMs) {
+		return state.isCold(nowMs) && this.ratePerSecond.applyAsDouble(state.entry().service()) > 0;
 	}
 
-	private boolean mayTake(UpstreamState state, long nowMs) {
-		UpstreamShare part = part(state, nowMs);
-		return part.sends && part.bucket.available(nowMs);
+	private boolean maySend(UpstreamState state, long nowMs) {
+		UpstreamShare share = share(state, nowMs);
+		return share.isSender && share.bucket.available(nowMs);
 	}
 
-	private UpstreamShare part(UpstreamState state, long nowMs) {
+	private UpstreamShare share(UpstreamState state, long nowMs) {
 		String incarnation = state.entry().incarnation();
-		double rate = this.ratePerSecond.applyAsDouble(state.entry().service()) * USED_SHARE / SENDERS;
-		UpstreamShare part = this.parts.computeIfAbsent(incarnation, (key) -> new UpstreamShare(rate, nowMs));
-		if (nowMs - part.rankedMs > RANK_MS) {
-			part.rankedMs = nowMs;
-			part.sends = RendezvousHash.top(incarnation, this.vms.get(), SENDERS).contains(this.vm);
+		double rate = this.ratePerSecond.applyAsDouble(state.entry().service()) * USED_RATE_FRACTION
+				/ SENDERS_PER_UPSTREAM;
+		UpstreamShare share = this.shares.computeIfAbsent(incarnation, (key) -> new UpstreamShare(rate, nowMs));
+		if (nowMs - share.rankedAtMs > RANKING_TTL_MS) {
+			share.rankedAtMs = nowMs;
+			share.isSender = RendezvousHash.top(incarnation, this.vms.get(), SENDERS_PER_UPSTREAM).contains(this.vm);
 		}
-		return part;
+		return share;
 	}
 
 	/**
-	 * Take note that a request is sent. To be called for each.
-	 * @param state the upstream
-	 * @param nowMs the steady clock
+	 * Record a sent request. Must be called for each request.
+	 * @param state the upstream that receives it
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void onSend(UpstreamState state, long nowMs) {
-		if (limited(state, nowMs)) {
-			part(state, nowMs).bucket.tryTake(nowMs);
+		if (isLimited(state, nowMs)) {
+			share(state, nowMs).bucket.tryTake(nowMs);
 		}
 	}
 
 	/**
-	 * Drop what is no longer needed.
-	 * @param nowMs the steady clock
+	 * Drop the state of upstreams that are no longer used.
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void expire(long nowMs) {
-		this.parts.values().removeIf((part) -> nowMs - part.rankedMs > FORGET_MS);
+		this.shares.values().removeIf((share) -> nowMs - share.rankedAtMs > IDLE_EXPIRY_MS);
 	}
 
-	/** This VM's part in what one cold upstream gets. */
+	/** This VM's share of the rate of one cold upstream. */
 	private static final class UpstreamShare {
 
 		private final TokenBucket bucket;
 
-		// Ranked when it is first used.
-		private long rankedMs = Long.MIN_VALUE / 2;
+		// In the past, so that the first use computes the ranking.
+		private long rankedAtMs = Long.MIN_VALUE / 2;
 
-		private boolean sends;
+		private boolean isSender;
 
 		UpstreamShare(double ratePerSecond, long nowMs) {
 			this.bucket = TokenBucket.create(ratePerSecond, 1, nowMs);
--- a/core/src/main/java/org/tallycart/core/upstream/EngineChooser.java
+++ b/core/src/main/java/org/tallycart/core/upstream/EngineChooser.java
@@ -8,11 +8,13 @@
 import org.tallycart.core.serving.Prompt;
 
 /**
- * Chooses a model engine by where a prompt's shared parts have been read before.
+ * Chooses a model engine by cache affinity: it prefers the engine that already holds the
+ * shared parts of a prompt.
  * <p>
- * Each session has a home engine by rendezvous hash, so that all VMs agree without a
- * message. A request goes elsewhere when the home's expected wait is longer by more than
- * what reading or copying the shared parts costs; then it copies them from the home.
+ * Each session has a home engine by rendezvous hash, so all VMs agree without
+ * coordination. A request goes to another engine when the home's expected wait is longer
+ * by more than the cost of prefilling or copying the shared parts; that engine then
+ * copies them from the home.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -20,39 +22,42 @@
  */
 public final class EngineChooser {
 
-	/** What leaving the home costs at least, in milliseconds: a copy has to be set up. */
-	private static final double LEAVE_MS = 30;
+	/**
+	 * Minimum cost of using another engine than the home, in milliseconds: the setup of a
+	 * copy.
+	 */
+	private static final double MIN_TRANSFER_MS = 30;
 
-	/** Prompts that share fewer tokens are not worth a copy. */
+	/** Minimum number of shared tokens for which a copy is made. */
 	private static final int MIN_FETCH_TOKENS = 500;
 
-	/** What a request that is ahead in an engine's queue adds, in milliseconds. */
-	private static final double QUEUED_MS = 40;
+	/** Expected wait for each request in an engine's queue, in milliseconds. */
+	private static final double QUEUED_REQUEST_MS = 40;
 
-	/** What a failing share of 1 adds to the expected wait, in milliseconds. */
-	private static final double ERROR_MS = 2_000;
+	/** Penalty on the expected wait at an error rate of 1, in milliseconds. */
+	private static final double ERROR_RATE_MS = 2_000;
 
 	private EngineChooser() {
 	}
 
 	/**
 	 * Choose an engine.
-	 * @param prompt what the request reads
-	 * @param candidates engines that may get it
-	 * @param nowMs the steady clock
-	 * @return the choice, or empty if there is no candidate
+	 * @param prompt the prompt of the request
+	 * @param candidates the engines that may receive the request
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the choice; empty if there is no candidate
 	 */
 	public static Optional<UpstreamChoice> choose(Prompt prompt, Collection<UpstreamState> candidates, long nowMs) {
 		return RendezvousHash.first(prompt.model() + "/" + prompt.session(), candidates, UpstreamState::name)
-			.map((home) -> leastWait(prompt, home, candidates, nowMs));
+			.map((home) -> chooseLeastWait(prompt, home, candidates, nowMs));
 	}
 
-	private static UpstreamChoice leastWait(Prompt prompt, UpstreamState home, Collection<UpstreamState> candidates,
-			long nowMs) {
+	private static UpstreamChoice chooseLeastWait(Prompt prompt, UpstreamState home,
+			Collection<UpstreamState> candidates, long nowMs) {
 		UpstreamState best = home;
-		double bestMs = waitMs(home, nowMs) - LEAVE_MS - PromptCost.sharedMs(prompt);
+		double bestMs = expectedWaitMs(home, nowMs) - MIN_TRANSFER_MS - PromptCost.sharedPrefillMs(prompt);
 		for (UpstreamState other : candidates) {
-			double otherMs = waitMs(other, nowMs);
+			double otherMs = expectedWaitMs(other, nowMs);
 			if (other != home && otherMs < bestMs) {
 				best = other;
 				bestMs = otherMs;
@@ -64,17 +69,16 @@
 		return new UpstreamChoice(best, fetch ? Optional.of(source) : Optional.empty());
 	}
 
-	// Sessions that share their first part copy it from one engine rather than have it
-	// read
-	// by each; an engine that holds it already copies nothing.
+	// Sessions with the same first part copy it from one engine, instead of a prefill on
+	// each engine. The home of the first part itself copies nothing.
 	private static UpstreamState firstPartHome(Prompt prompt, Collection<UpstreamState> candidates) {
 		return RendezvousHash.first(prompt.model() + "/" + prompt.firstPart(), candidates, UpstreamState::name)
 			.orElseThrow();
 	}
 
-	private static double waitMs(UpstreamState state, long nowMs) {
+	private static double expectedWaitMs(UpstreamState state, long nowMs) {
 		int queued = state.report(nowMs).map(LoadReport::waiting).orElse(0);
-		return state.readMsWaiting() + queued * QUEUED_MS + state.errorRate() * ERROR_MS;
+		return state.pendingPrefillMs() + queued * QUEUED_REQUEST_MS + state.errorRate() * ERROR_RATE_MS;
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/upstream/LeastLoadedChooser.java
+++ b/core/src/main/java/org/tallycart/core/upstream/LeastLoadedChooser.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * Chooses an upstream of a plain service: the one with the least share of its slots taken
- * by this VM's requests and by what it reported, with a small preference for the VM's own
- * failure domain.
+ * Chooses the upstream of a plain service with the lowest slot utilization, by this VM's
+ * requests in flight and the upstream's load reports, with a small preference for the
+ * VM's own failure domain.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -15,21 +15,21 @@
  */
 public final class LeastLoadedChooser {
 
-	/** What another failure domain counts, in shares of an upstream's slots. */
-	private static final double OTHER_DOMAIN = 0.1;
+	/** Penalty for another failure domain, as a fraction of an upstream's slots. */
+	private static final double OTHER_DOMAIN_PENALTY = 0.1;
 
-	/** What a failing share of 1 counts, in shares of an upstream's slots. */
-	private static final double ERROR_SHARE = 4;
+	/** Penalty at an error rate of 1, as a fraction of an upstream's slots. */
+	private static final double ERROR_RATE_PENALTY = 4;
 
 	private LeastLoadedChooser() {
 	}
 
 	/**
 	 * Choose an upstream.
-	 * @param candidates upstreams that may get the request
+	 * @param candidates the upstreams that may receive the request
 	 * @param failureDomain the VM's own failure domain
-	 * @param nowMs the steady clock
-	 * @return the choice, or empty if there is no candidate
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the choice; empty if there is no candidate
 	 */
 	public static Optional<UpstreamChoice> choose(Collection<UpstreamState> candidates, String failureDomain,
 			long nowMs) {
@@ -42,9 +42,9 @@
 	private static double score(UpstreamState state, String failureDomain, long nowMs) {
 		double slots = Math.max(state.entry().slots(), 1);
 		int reported = state.report(nowMs).map((report) -> report.running() + report.waiting()).orElse(0);
-		double taken = Math.max(state.inFlight(), reported) / slots;
-		double domain = state.entry().failureDomain().equals(failureDomain) ? 0 : OTHER_DOMAIN;
-		return taken + domain + state.errorRate() * ERROR_SHARE;
+		double utilization = Math.max(state.inFlight(), reported) / slots;
+		double domainPenalty = state.entry().failureDomain().equals(failureDomain) ? 0 : OTHER_DOMAIN_PENALTY;
+		return utilization + domainPenalty + state.errorRate() * ERROR_RATE_PENALTY;
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/upstream/PromptCost.java
+++ b/core/src/main/java/org/tallycart/core/upstream/PromptCost.java
@@ -3,8 +3,8 @@
 import org.tallycart.core.serving.Prompt;
 
 /**
- * How long an engine takes to read a prompt, by the figures that the sites' sheets give
- * for their engines. It serves to compare and to plan, not to promise.
+ * Estimates the time that an engine takes to prefill a prompt, from the engines' nominal
+ * throughput. Estimates serve for comparison and planning; actual times may differ.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -12,14 +12,16 @@
  */
 public final class PromptCost {
 
-	/** Prompt tokens that an engine reads in a millisecond. */
-	private static final double TOKENS_PER_MS = 32.4;
+	/** Prompt tokens that an engine prefills in a millisecond. */
+	private static final double PREFILL_TOKENS_PER_MS = 32.4;
 
-	/** What a million pairs of a new and an earlier token add, in milliseconds. */
-	private static final double MS_PER_MILLION_PAIRS = 1.18;
+	/**
+	 * Attention cost of a million pairs of a new and an earlier token, in milliseconds.
+	 */
+	private static final double ATTENTION_MS_PER_MILLION_PAIRS = 1.18;
 
-	/** What the first token takes beside reading, in milliseconds. */
-	private static final double FIRST_TOKEN_MS = 70;
+	/** Time to the first token in addition to the prefill, in milliseconds. */
+	private static final double FIRST_TOKEN_OVERHEAD_MS = 70;
 
 	private static final double MILLION = 1_000_000;
 
@@ -27,32 +29,32 @@
 	}
 
 	/**
-	 * Return how long reading takes where the shared parts are there already.
+	 * Return the prefill time on an engine that already holds the shared parts.
 	 * @param prompt the prompt
 	 * @return milliseconds
 	 */
 	public static double prefillMs(Prompt prompt) {
-		double fresh = Math.max(prompt.promptTokens() - prompt.sharedTokens(), 0);
-		double pairs = fresh * (prompt.sharedTokens() + fresh / 2);
-		return fresh / TOKENS_PER_MS + pairs / MILLION * MS_PER_MILLION_PAIRS;
+		double uncachedTokens = Math.max(prompt.promptTokens() - prompt.sharedTokens(), 0);
+		double tokenPairs = uncachedTokens * (prompt.sharedTokens() + uncachedTokens / 2);
+		return uncachedTokens / PREFILL_TOKENS_PER_MS + tokenPairs / MILLION * ATTENTION_MS_PER_MILLION_PAIRS;
 	}
 
 	/**
-	 * Return when the first token is there, from the arrival at an idle engine.
+	 * Return the time to the first token on an idle engine, from the request's arrival.
 	 * @param prompt the prompt
 	 * @return milliseconds
 	 */
 	public static double firstTokenMs(Prompt prompt) {
-		return prefillMs(prompt) + FIRST_TOKEN_MS;
+		return prefillMs(prompt) + FIRST_TOKEN_OVERHEAD_MS;
 	}
 
 	/**
-	 * Return how long reading the shared parts takes.
+	 * Return the prefill time of the shared parts.
 	 * @param prompt the prompt
 	 * @return milliseconds
 	 */
-	public static double sharedMs(Prompt prompt) {
-		return prompt.sharedTokens() / TOKENS_PER_MS;
+	public static double sharedPrefillMs(Prompt prompt) {
+		return prompt.sharedTokens() / PREFILL_TOKENS_PER_MS;
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/upstream/UnavailabilityRegistry.java
+++ b/core/src/main/java/org/tallycart/core/upstream/UnavailabilityRegistry.java
@@ -6,121 +6,122 @@
 import java.util.function.Predicate;
 
 /**
- * The upstreams that have said, in replies or in their entries, that they want no
- * requests: for good, since they leave, or for a time, since they need rest.
+ * The upstreams that have stated, in replies or in their entries, that they accept no
+ * requests: permanently, because they are draining, or for a backoff period.
  * <p>
- * Both are kept by incarnation and apart from the platform's list, so that neither an
- * entry that is written late, nor one that is gone and comes back, takes them back.
- * Leaving is final: whichever VM heard it, and however often, all end up with the same. A
- * rest is asked of one VM and concerns no other.
+ * Both are kept by incarnation and apart from the platform's list, so that neither a
+ * stale entry nor one that is removed and added again revokes them. Draining is final,
+ * and VMs that receive the statement in any order and number end up in the same state. A
+ * backoff applies only to the VM that received it.
  * <p>
- * Invariants: what was said once holds until it ends by itself; of two rests the one that
- * ends later holds. Not thread-safe: belongs to one event loop.
+ * Invariants: a statement is never revoked before it expires; of two backoffs the one
+ * that ends later applies. Not thread-safe: belongs to one event loop.
  *
  * @since 0.1
  */
 public final class UnavailabilityRegistry {
 
-	/** What an upstream that leaves takes in the future. */
+	/** Result for a draining upstream, which accepts no more requests. */
 	public static final long NEVER = Long.MAX_VALUE;
 
 	/**
-	 * How long it is remembered that an upstream leaves after it was listed last, in
-	 * milliseconds: its entry may be listed again by a store that comes back from an
-	 * older copy.
+	 * Time for which a draining incarnation is kept after it was last listed, in
+	 * milliseconds, since a rollback of the store may list it again.
 	 */
-	private static final long REMEMBERED_MS = 600_000;
+	private static final long DRAINING_RETENTION_MS = 600_000;
 
-	private final Map<String, Long> leavingSeenMs = new HashMap<>();
+	private final Map<String, Long> drainingLastListedMs = new HashMap<>();
 
-	private final Map<String, Long> restUntilMs = new HashMap<>();
+	private final Map<String, Long> backoffUntilMs = new HashMap<>();
 
 	/**
-	 * Take note that an upstream leaves.
-	 * @param incarnation the upstream
-	 * @param nowMs the steady clock
-	 * @return whether that is news
+	 * Record that an upstream is draining.
+	 * @param incarnation the upstream's incarnation
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return true if this was not known before
 	 */
 	public boolean onDraining(String incarnation, long nowMs) {
-		return this.leavingSeenMs.put(incarnation, nowMs) == null;
+		return this.drainingLastListedMs.put(incarnation, nowMs) == null;
 	}
 
 	/**
-	 * Take note that an upstream wants no requests from this VM for a time.
-	 * @param incarnation the upstream
-	 * @param restMs for how long, in milliseconds
-	 * @param nowMs the steady clock
-	 * @return whether it did not rest before
+	 * Record that an upstream accepts no requests from this VM for some time.
+	 * @param incarnation the upstream's incarnation
+	 * @param backoffMs the length of the backoff, in milliseconds
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return true if this begins a backoff, false if it extends one or is empty
 	 */
-	public boolean onBackoff(String incarnation, long restMs, long nowMs) {
-		boolean rested = remainingBackoffMs(incarnation, nowMs) > 0;
-		this.restUntilMs.merge(incarnation, nowMs + restMs, Math::max);
-		return restMs > 0 && !rested;
+	public boolean onBackoff(String incarnation, long backoffMs, long nowMs) {
+		boolean wasBackingOff = remainingBackoffMs(incarnation, nowMs) > 0;
+		this.backoffUntilMs.merge(incarnation, nowMs + backoffMs, Math::max);
+		return backoffMs > 0 && !wasBackingOff;
 	}
 
 	/**
-	 * Return whether an upstream has said that it leaves.
-	 * @param incarnation the upstream
-	 * @return true if it has
+	 * Return whether an upstream has stated that it is draining.
+	 * @param incarnation the upstream's incarnation
+	 * @return true if it is draining
 	 */
 	public boolean isDraining(String incarnation) {
-		return this.leavingSeenMs.containsKey(incarnation);
+		return this.drainingLastListedMs.containsKey(incarnation);
 	}
 
 	/**
-	 * Return for how much longer an upstream wants no requests from this VM.
-	 * @param incarnation the upstream
-	 * @param nowMs the steady clock
-	 * @return milliseconds; 0 if it rests no longer
+	 * Return the remaining backoff of an upstream.
+	 * @param incarnation the upstream's incarnation
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the remaining time in milliseconds; 0 if there is no backoff
 	 */
 	public long remainingBackoffMs(String incarnation, long nowMs) {
-		return Math.max(this.restUntilMs.getOrDefault(incarnation, nowMs) - nowMs, 0);
+		return Math.max(this.backoffUntilMs.getOrDefault(incarnation, nowMs) - nowMs, 0);
 	}
 
 	/**
-	 * Return when an upstream takes requests again, by its own word.
-	 * @param incarnation the upstream
-	 * @param nowMs the steady clock
-	 * @return milliseconds; 0 if it takes them now, {@link #NEVER} if it leaves
+	 * Return the time until an upstream accepts requests, by its own statements.
+	 * @param incarnation the upstream's incarnation
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the time in milliseconds; 0 if it accepts them now, {@link #NEVER} if it is
+	 * draining
 	 */
 	public long acceptsInMs(String incarnation, long nowMs) {
 		return isDraining(incarnation) ? NEVER : remainingBackoffMs(incarnation, nowMs);
 	}
 
 	/**
-	 * Return whether there is nothing that keeps a request from any upstream.
-	 * @return true if so
+	 * Return whether no upstream is recorded as draining or backing off.
+	 * @return true if there is none
 	 */
 	public boolean isEmpty() {
-		return this.leavingSeenMs.isEmpty() && this.restUntilMs.isEmpty();
+		return this.drainingLastListedMs.isEmpty() && this.backoffUntilMs.isEmpty();
 	}
 
 	/**
-	 * Return the upstreams that have said that they leave.
+	 * Return the draining upstreams.
 	 * @return their incarnations
 	 */
 	public Set<String> drainingIncarnations() {
-		return Set.copyOf(this.leavingSeenMs.keySet());
+		return Set.copyOf(this.drainingLastListedMs.keySet());
 	}
 
 	/**
-	 * Return how many upstreams rest.
-	 * @param nowMs the steady clock
+	 * Return the number of upstreams with a backoff.
+	 * @param nowMs the current monotonic time, in milliseconds
 	 * @return the count
 	 */
 	public long backoffCount(long nowMs) {
-		return this.restUntilMs.values().stream().filter((until) -> until > nowMs).count();
+		return this.backoffUntilMs.values().stream().filter((until) -> until > nowMs).count();
 	}
 
 	/**
-	 * Drop what is of no use any more. To be called now and then.
-	 * @param listed tells whether an incarnation is still listed
-	 * @param nowMs the steady clock
+	 * Drop expired statements. Should be called periodically.
+	 * @param listed tests whether an incarnation is still listed
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void expire(Predicate<String> listed, long nowMs) {
-		this.restUntilMs.values().removeIf((until) -> until <= nowMs);
-		this.leavingSeenMs.replaceAll((incarnation, seenMs) -> listed.test(incarnation) ? nowMs : seenMs);
-		this.leavingSeenMs.values().removeIf((seenMs) -> nowMs - seenMs > REMEMBERED_MS);
+		this.backoffUntilMs.values().removeIf((until) -> until <= nowMs);
+		this.drainingLastListedMs
+			.replaceAll((incarnation, lastListedMs) -> listed.test(incarnation) ? nowMs : lastListedMs);
+		this.drainingLastListedMs.values().removeIf((lastListedMs) -> nowMs - lastListedMs > DRAINING_RETENTION_MS);
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/upstream/UpstreamChoice.java
+++ b/core/src/main/java/org/tallycart/core/upstream/UpstreamChoice.java
@@ -5,8 +5,8 @@
 /**
  * The upstream chosen for a request.
  *
- * @param upstream the upstream
- * @param fetchFrom another upstream that holds more of the prompt, to copy it from
+ * @param upstream the upstream that receives the request
+ * @param fetchFrom another upstream from which it copies the shared parts of the prompt
  * @since 0.1
  */
 public record UpstreamChoice(UpstreamState upstream, Optional<UpstreamState> fetchFrom) {
--- a/core/src/main/java/org/tallycart/core/upstream/UpstreamDirectory.java
+++ b/core/src/main/java/org/tallycart/core/upstream/UpstreamDirectory.java
@@ -15,53 +15,52 @@
 import org.tallycart.core.serving.UpstreamEntry;
 
 /**
- * The upstreams that exist, from the platform's list and from what they say themselves.
+ * The upstreams that exist, from the platform's list and from their own statements.
  * <p>
- * Entries that vanish while the list cannot be trusted, in an outage of the platform's
- * store and for a time after it, are kept for that time: their upstreams mostly live, and
- * have only failed to renew them.
+ * Entries that vanish during an outage of the platform's store, or in a grace period
+ * after it, are kept until the grace period ends, since most of their upstreams are live
+ * and could only not renew them.
  * <p>
- * Invariant: an upstream that leaves or rests, by its entry or its replies, one that is
- * gone, and one in a failure domain that the operators have evacuated are no candidates.
- * Not thread-safe: belongs to one event loop.
+ * Invariant: upstreams that are draining or backing off, by their entries or replies,
+ * upstreams that are removed, and upstreams in an evacuated failure domain are never
+ * candidates. Not thread-safe: belongs to one event loop.
  *
  * @since 0.1
  */
 public final class UpstreamDirectory {
 
 	/**
-	 * How long after an outage a vanished entry is kept, in milliseconds. The platform
-	 * says that entries of upstreams that live are back about two seconds after its
-	 * return.
+	 * Grace period after an outage, in milliseconds. The platform renews the entries of
+	 * live upstreams within about two seconds after its return.
 	 */
-	private static final long RENEWAL_MS = 2_200;
+	private static final long RENEWAL_GRACE_MS = 2_200;
 
 	private final Map<String, UpstreamState> states = new HashMap<>();
 
 	private final Map<String, UpstreamState> vanished = new HashMap<>();
 
-	// Made when it is asked for, and dropped with each change of the two above.
+	// Index of the two maps above, built on demand and cleared by each change.
 	private final Map<String, List<UpstreamState>> byService = new HashMap<>();
 
-	private final UnavailabilityRegistry absences = new UnavailabilityRegistry();
+	private final UnavailabilityRegistry unavailability = new UnavailabilityRegistry();
 
-	private Set<String> evacuated = Set.of();
+	private Set<String> evacuatedDomains = Set.of();
 
-	private boolean evacuationsKnown = true;
+	private boolean evacuationsLoaded = true;
 
-	private boolean known;
+	private boolean loaded;
 
-	private boolean outage;
+	private boolean storeUnavailable;
 
-	private long trustedFromMs = Long.MIN_VALUE / 2;
+	private long graceUntilMs = Long.MIN_VALUE / 2;
 
 	/**
-	 * Take the whole list.
-	 * @param entries the upstreams that it holds
-	 * @param nowMs the steady clock
+	 * Replace the list.
+	 * @param entries the entries of all upstreams
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void replace(Collection<UpstreamEntry> entries, long nowMs) {
-		this.known = true;
+		this.loaded = true;
 		Set<String> present = new HashSet<>();
 		for (UpstreamEntry entry : entries) {
 			present.add(entry.id());
@@ -75,65 +74,66 @@
 	}
 
 	/**
-	 * Take a new or changed entry. One that tells of a start before the known one is late
-	 * and changes nothing; one that tells of a later start names another incarnation, of
-	 * which nothing is known.
+	 * Add or update an entry. An entry with an earlier start than the current one is
+	 * stale and ignored; one with a later start begins a new incarnation with empty
+	 * state.
 	 * @param entry the entry
-	 * @param nowMs the steady clock
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void put(UpstreamEntry entry, long nowMs) {
 		this.byService.clear();
 		if (entry.draining()) {
-			this.absences.onDraining(entry.incarnation(), nowMs);
+			this.unavailability.onDraining(entry.incarnation(), nowMs);
 		}
 		UpstreamState returned = this.vanished.remove(entry.id());
 		if (returned != null) {
 			this.states.put(entry.id(), returned);
 		}
-		UpstreamState known = this.states.get(entry.id());
-		if (known == null || entry.startedAfter(known.entry())) {
-			this.states.put(entry.id(), new UpstreamState(entry, this.absences, nowMs));
+		UpstreamState current = this.states.get(entry.id());
+		if (current == null || entry.startedAfter(current.entry())) {
+			this.states.put(entry.id(), new UpstreamState(entry, this.unavailability, nowMs));
 		}
-		else if (!known.entry().startedAfter(entry)) {
-			known.update(entry, nowMs);
+		else if (!current.entry().startedAfter(entry)) {
+			current.update(entry, nowMs);
 		}
 	}
 
 	/**
-	 * Return what upstreams have said of their leaving and of rest.
-	 * @return their statements, which change with what they say
+	 * Return the registry of upstreams that are draining or backing off.
+	 * @return the registry, which is updated by later statements
 	 */
 	public UnavailabilityRegistry unavailability() {
-		return this.absences;
+		return this.unavailability;
 	}
 
-	/** Take note that it is not known yet which failure domains are evacuated. */
+	/**
+	 * Require the evacuated failure domains to be set before any upstream is a candidate.
+	 */
 	public void expectEvacuations() {
-		this.evacuationsKnown = false;
+		this.evacuationsLoaded = false;
 	}
 
 	/**
-	 * Take the failure domains whose upstreams get nothing until the operators take that
-	 * back. What they work on ends as usual, and results that lie there are still read.
-	 * @param domains all of them
+	 * Set the failure domains whose upstreams receive no new requests. Requests in flight
+	 * complete, and results stored there stay readable.
+	 * @param domains all evacuated failure domains
 	 */
 	public void setEvacuatedDomains(Collection<String> domains) {
-		this.evacuationsKnown = true;
-		this.evacuated = Set.copyOf(domains);
+		this.evacuationsLoaded = true;
+		this.evacuatedDomains = Set.copyOf(domains);
 	}
 
 	/**
-	 * Return the failure domains that are evacuated.
+	 * Return the evacuated failure domains.
 	 * @return their names
 	 */
 	public Set<String> evacuatedDomains() {
-		return this.evacuated;
+		return this.evacuatedDomains;
 	}
 
 	/**
-	 * Take note that an upstream's entry can no longer be read: it names no upstream to
-	 * use, also in an outage.
-	 * @param id its name
+	 * Remove an upstream whose entry is invalid, without a grace period.
+	 * @param id the upstream's id
 	 */
 	public void removeInvalid(String id) {
 		this.byService.clear();
@@ -142,106 +142,110 @@
 	}
 
 	/**
-	 * Take note that an entry is gone.
-	 * @param id its upstream
-	 * @param nowMs the steady clock
+	 * Remove an upstream whose entry has vanished. During an outage and the grace period
+	 * after it, the upstream stays available.
+	 * @param id the upstream's id
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void remove(String id, long nowMs) {
 		this.byService.clear();
 		UpstreamState state = this.states.remove(id);
-		if (state != null && !state.gone() && !trusted(nowMs)) {
+		if (state != null && !state.isDraining() && !isListTrusted(nowMs)) {
 			this.vanished.put(id, state);
 		}
 	}
 
-	private boolean trusted(long nowMs) {
-		return !this.outage && nowMs >= this.trustedFromMs;
+	private boolean isListTrusted(long nowMs) {
+		return !this.storeUnavailable && nowMs >= this.graceUntilMs;
 	}
 
-	/** Take note that the platform's store cannot be reached. */
+	/** Record that the platform's store is unavailable. */
 	public void onStoreLost() {
-		this.outage = true;
+		this.storeUnavailable = true;
 	}
 
 	/**
-	 * Take note that the platform's store answers again.
-	 * @param nowMs the steady clock
+	 * Record that the platform's store is available again, which starts the grace period.
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void onStoreBack(long nowMs) {
-		if (this.outage) {
-			this.outage = false;
-			this.trustedFromMs = nowMs + RENEWAL_MS;
+		if (this.storeUnavailable) {
+			this.storeUnavailable = false;
+			this.graceUntilMs = nowMs + RENEWAL_GRACE_MS;
 		}
 	}
 
 	/**
-	 * Return how long entries that vanish may still come back.
-	 * @param nowMs the steady clock
-	 * @return milliseconds; 0 where what vanishes is gone
+	 * Return the remaining grace period.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the remaining time in milliseconds; 0 if vanished entries are removed at
+	 * once
 	 */
 	public long remainingGraceMs(long nowMs) {
-		return this.outage ? RENEWAL_MS : Math.max(this.trustedFromMs - nowMs, 0);
+		return this.storeUnavailable ? RENEWAL_GRACE_MS : Math.max(this.graceUntilMs - nowMs, 0);
 	}
 
 	/**
-	 * Take note that entries that vanish may still come back until some time.
-	 * @param untilMs that time, on the steady clock
+	 * Extend the grace period.
+	 * @param untilMs the earliest end of the grace period, in monotonic time
 	 */
 	public void extendGraceUntil(long untilMs) {
-		this.trustedFromMs = Math.max(this.trustedFromMs, untilMs);
+		this.graceUntilMs = Math.max(this.graceUntilMs, untilMs);
 	}
 
 	/**
-	 * Drop entries that should have been renewed by now.
-	 * @param nowMs the steady clock
+	 * Drop vanished entries after the end of the grace period.
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void expireVanished(long nowMs) {
-		if (trusted(nowMs) && !this.vanished.isEmpty()) {
+		if (isListTrusted(nowMs) && !this.vanished.isEmpty()) {
 			this.byService.clear();
 			this.vanished.clear();
 		}
 	}
 
 	/**
-	 * Return the upstreams of a service that may get new work.
+	 * Return the upstreams of a service that may receive new requests.
 	 * @param service the service
-	 * @param nowMs the steady clock
-	 * @return those that neither leave nor rest and are not evacuated; without those that
-	 * could not be reached lately, unless there are no others
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the upstreams that are not draining, backing off or evacuated; without the
+	 * ejected ones, unless there are no others
 	 */
 	public List<UpstreamState> candidates(String service, long nowMs) {
-		List<UpstreamState> accepting = open(service);
+		List<UpstreamState> accepting = notEvacuated(service);
 		accepting.removeIf((state) -> state.acceptsInMs(nowMs) > 0);
 		List<UpstreamState> usable = accepting.stream().filter((state) -> state.isUsable(nowMs)).toList();
 		return usable.isEmpty() ? accepting : usable;
 	}
 
-	// Those that operators let be used, the resting among them.
-	private List<UpstreamState> open(String service) {
-		if (!this.evacuationsKnown) {
+	// Includes upstreams that are backing off.
+	private List<UpstreamState> notEvacuated(String service) {
+		if (!this.evacuationsLoaded) {
 			return new ArrayList<>();
 		}
-		List<UpstreamState> open = activeUpstreams(service);
-		open.removeIf((state) -> this.evacuated.contains(state.entry().failureDomain()));
-		return open;
+		List<UpstreamState> upstreams = activeUpstreams(service);
+		upstreams.removeIf((state) -> this.evacuatedDomains.contains(state.entry().failureDomain()));
+		return upstreams;
 	}
 
 	/**
-	 * Return when the first upstream of a service takes requests, by their own words.
+	 * Return the time until the first upstream of a service accepts requests, by their
+	 * own statements.
 	 * @param service the service
-	 * @param nowMs the steady clock
-	 * @return milliseconds; 0 if one takes them now, {@link UnavailabilityRegistry#NEVER}
-	 * if there is none that does not leave
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the time in milliseconds; 0 if one accepts them now,
+	 * {@link UnavailabilityRegistry#NEVER} if all are draining or there is none
 	 */
 	public long acceptsInMs(String service, long nowMs) {
-		return open(service).stream()
+		return notEvacuated(service).stream()
 			.mapToLong((state) -> state.acceptsInMs(nowMs))
 			.min()
 			.orElse(UnavailabilityRegistry.NEVER);
 	}
 
 	/**
-	 * Return the upstreams of a service that are not leaving, the evacuated among them.
+	 * Return the upstreams of a service that are not draining, including the evacuated
+	 * ones.
 	 * @param service the service
 	 * @return the upstreams
 	 */
@@ -251,7 +255,7 @@
 			this.vanished.values().forEach(this::index);
 		}
 		List<UpstreamState> found = new ArrayList<>(this.byService.getOrDefault(service, List.of()));
-		found.removeIf(UpstreamState::gone);
+		found.removeIf(UpstreamState::isDraining);
 		return found;
 	}
 
@@ -260,10 +264,10 @@
 	}
 
 	/**
-	 * Find an upstream by its address. One that is listed goes before one whose entry has
-	 * vanished and may come back, since addresses are used again.
-	 * @param address where it listens
-	 * @return the upstream, if one listens there
+	 * Find an upstream by its address. Listed upstreams take precedence over vanished
+	 * ones, since addresses are reused.
+	 * @param address the address on which it listens
+	 * @return the upstream; empty if there is none at this address
 	 */
 	public Optional<UpstreamState> findByAddress(Address address) {
 		return Stream.concat(this.states.values().stream(), this.vanished.values().stream())
@@ -272,25 +276,25 @@
 	}
 
 	/**
-	 * Return the entry of an upstream that is listed.
-	 * @param id its name
-	 * @return the entry, if it is listed
+	 * Return the entry of a listed upstream.
+	 * @param id the upstream's id
+	 * @return the entry; empty if the upstream is not listed
 	 */
 	public Optional<UpstreamEntry> entry(String id) {
 		return Optional.ofNullable(this.states.get(id)).map(UpstreamState::entry);
 	}
 
 	/**
-	 * Return whether the list, and what is evacuated, was read at least once.
-	 * @return true if it was
+	 * Return whether the list and the evacuated failure domains have been loaded.
+	 * @return true if both were loaded at least once
 	 */
 	public boolean isLoaded() {
-		return this.known && this.evacuationsKnown;
+		return this.loaded && this.evacuationsLoaded;
 	}
 
 	/**
-	 * Return what names the incarnations that are listed or kept.
-	 * @return the names; see {@link UpstreamEntry#incarnation}
+	 * Return the incarnations that are listed, or vanished in the grace period.
+	 * @return the incarnations; see {@link UpstreamEntry#incarnation}
 	 */
 	public Set<String> incarnations() {
 		return Stream.concat(this.states.values().stream(), this.vanished.values().stream())
@@ -299,8 +303,8 @@
 	}
 
 	/**
-	 * Return the names of all incarnations that are listed or kept.
-	 * @return the names
+	 * Return the ids of the upstreams that are listed, or vanished in the grace period.
+	 * @return the ids
 	 */
 	public Set<String> ids() {
 		Set<String> ids = new HashSet<>(this.states.keySet());
--- a/core/src/main/java/org/tallycart/core/upstream/UpstreamState.java
+++ b/core/src/main/java/org/tallycart/core/upstream/UpstreamState.java
@@ -8,9 +8,9 @@
 import org.tallycart.core.serving.UpstreamEntry;
 
 /**
- * What one VM knows of one incarnation of an upstream.
+ * The state of one incarnation of an upstream, as observed by one VM.
  * <p>
- * Invariant: an incarnation that has said that it leaves is never used again. Not
+ * Invariant: an incarnation that has stated that it is draining is never used again. Not
  * thread-safe: belongs to the directory's event loop.
  *
  * @since 0.1
@@ -18,24 +18,25 @@
 public final class UpstreamState {
 
 	/**
-	 * First time an upstream is left out after it could not be reached, in milliseconds.
+	 * Ejection time after the first failure to reach an upstream, in milliseconds.
 	 */
-	private static final long FIRST_EJECTION_MS = 300;
+	private static final long INITIAL_EJECTION_MS = 300;
 
 	/**
-	 * Longest such time, in milliseconds: one that is back is found within two seconds.
+	 * Maximum ejection time, in milliseconds; bounds the time until a recovered upstream
+	 * is used.
 	 */
-	private static final long LONGEST_EJECTION_MS = 2_000;
+	private static final long MAX_EJECTION_MS = 2_000;
 
 	/**
-	 * Weight of the newest outcome in the error rate: a dozen calls tell a failing one.
+	 * Weight of the latest outcome in the moving average of the error rate.
 	 */
-	private static final double ERROR_WEIGHT = 0.15;
+	private static final double ERROR_RATE_WEIGHT = 0.15;
 
-	/** A report older than this says nothing, in milliseconds. */
+	/** Time for which a load report is valid, in milliseconds. */
 	private static final long REPORT_TTL_MS = 1_000;
 
-	private final UnavailabilityRegistry absences;
+	private final UnavailabilityRegistry unavailability;
 
 	private UpstreamEntry entry;
 
@@ -43,13 +44,13 @@
 
 	private int inFlight;
 
-	private double readMsWaiting;
+	private double pendingPrefillMs;
 
 	private double errorRate;
 
 	private long ejectedUntilMs;
 
-	private long ejectionMs = FIRST_EJECTION_MS;
+	private long ejectionMs = INITIAL_EJECTION_MS;
 
 	private @Nullable LoadReport report;
 
@@ -57,32 +58,32 @@
 
 	private final HashedName name;
 
-	private long warmFromMs;
+	private long warmAtMs;
 
-	UpstreamState(UpstreamEntry entry, UnavailabilityRegistry absences, long nowMs) {
-		this.absences = absences;
+	UpstreamState(UpstreamEntry entry, UnavailabilityRegistry unavailability, long nowMs) {
+		this.unavailability = unavailability;
 		this.entry = entry;
 		this.incarnation = entry.incarnation();
 		this.name = HashedName.of(entry.id());
-		this.warmFromMs = nowMs + entry.coldMs();
+		this.warmAtMs = nowMs + entry.coldMs();
 	}
 
 	/**
-	 * Return the upstream.
-	 * @return its entry in the list
+	 * Return the upstream's entry.
+	 * @return the latest entry in the list
 	 */
 	public UpstreamEntry entry() {
 		return this.entry;
 	}
 
-	// An entry that says the same as before is no news of how long the upstream stays
-	// cold.
-	void update(UpstreamEntry fresh, long nowMs) {
-		if (fresh.coldMs() != this.entry.coldMs()) {
-			this.warmFromMs = nowMs + fresh.coldMs();
+	// An entry with an unchanged cold time was read again and does not restart the cold
+	// start.
+	void update(UpstreamEntry updated, long nowMs) {
+		if (updated.coldMs() != this.entry.coldMs()) {
+			this.warmAtMs = nowMs + updated.coldMs();
 		}
-		this.entry = fresh;
-		this.incarnation = fresh.incarnation();
+		this.entry = updated;
+		this.incarnation = updated.incarnation();
 	}
 
 	HashedName name() {
@@ -90,112 +91,114 @@
 	}
 
 	/**
-	 * Return for how much longer the upstream stays cold.
-	 * @param nowMs the steady clock
-	 * @return milliseconds; 0 if it is warm
+	 * Return the remaining time of the upstream's cold start.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the remaining time in milliseconds; 0 if it is warm
 	 */
 	public long remainingColdMs(long nowMs) {
-		return Math.max(this.warmFromMs - nowMs, 0);
+		return Math.max(this.warmAtMs - nowMs, 0);
 	}
 
 	/**
-	 * Return whether the upstream is cold: it bears few requests for some seconds after
-	 * its start.
-	 * @param nowMs the steady clock
-	 * @return true if it is
+	 * Return whether the upstream is in its cold start, in which it tolerates only a low
+	 * request rate.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return true if it is cold
 	 */
-	public boolean cold(long nowMs) {
+	public boolean isCold(long nowMs) {
 		return remainingColdMs(nowMs) > 0;
 	}
 
 	/**
-	 * Return whether the upstream may get new work.
-	 * @param nowMs the steady clock
-	 * @return false if it leaves or rests, or could not be reached lately
+	 * Return whether the upstream may receive new requests.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return false if it is draining, backing off or ejected as unreachable
 	 */
 	public boolean isUsable(long nowMs) {
 		return acceptsInMs(nowMs) == 0 && nowMs >= this.ejectedUntilMs;
 	}
 
 	/**
-	 * Return when the upstream takes requests from this VM, by its own word.
-	 * @param nowMs the steady clock
-	 * @return milliseconds; 0 if it takes them now, {@link UnavailabilityRegistry#NEVER}
-	 * if it leaves
+	 * Return the time until the upstream accepts requests, by its own statements.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the time in milliseconds; 0 if it accepts them now,
+	 * {@link UnavailabilityRegistry#NEVER} if it is draining
 	 */
 	public long acceptsInMs(long nowMs) {
-		return gone() ? UnavailabilityRegistry.NEVER : this.absences.remainingBackoffMs(this.incarnation, nowMs);
+		return isDraining() ? UnavailabilityRegistry.NEVER
+				: this.unavailability.remainingBackoffMs(this.incarnation, nowMs);
 	}
 
-	boolean gone() {
-		return this.entry.draining() || this.absences.isDraining(this.incarnation);
+	boolean isDraining() {
+		return this.entry.draining() || this.unavailability.isDraining(this.incarnation);
 	}
 
 	/**
-	 * Take note of a request that is sent.
-	 * @param readMs how long its prompt takes to be read, in milliseconds; 0 for plain
-	 * requests
+	 * Record a sent request.
+	 * @param prefillMs the estimated prefill time of its prompt, in milliseconds; 0 for
+	 * plain requests
 	 */
-	public void onSend(double readMs) {
+	public void onSend(double prefillMs) {
 		this.inFlight++;
-		this.readMsWaiting += readMs;
+		this.pendingPrefillMs += prefillMs;
 	}
 
 	/**
-	 * Take note that a prompt has been read.
-	 * @param readMs what was counted for it
+	 * Record that the prefill of a request is done.
+	 * @param prefillMs the time that was passed to {@link #onSend}, in milliseconds
 	 */
-	public void onPrefillDone(double readMs) {
-		this.readMsWaiting -= readMs;
+	public void onPrefillDone(double prefillMs) {
+		this.pendingPrefillMs -= prefillMs;
 	}
 
-	/** Take note that a request that was sent has ended, in whatever way. */
+	/** Record the end of a sent request, whatever its outcome. */
 	public void onEnd() {
 		this.inFlight--;
 	}
 
-	/** Take note of a whole answer. */
+	/** Record a complete reply. */
 	public void onSuccess() {
-		this.errorRate -= ERROR_WEIGHT * this.errorRate;
-		this.ejectionMs = FIRST_EJECTION_MS;
+		this.errorRate -= ERROR_RATE_WEIGHT * this.errorRate;
+		this.ejectionMs = INITIAL_EJECTION_MS;
 	}
 
-	/** Take note of an answer that reports a failure of the upstream. */
+	/** Record a reply that reports a failure of the upstream. */
 	public void onError() {
-		this.errorRate += ERROR_WEIGHT * (1 - this.errorRate);
+		this.errorRate += ERROR_RATE_WEIGHT * (1 - this.errorRate);
 	}
 
 	/**
-	 * Take note that the upstream could not be reached, or fell silent.
-	 * @param nowMs the steady clock
+	 * Record that the upstream is unreachable or unresponsive, and eject it for some
+	 * time.
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void onUnreachable(long nowMs) {
 		onError();
 		this.ejectedUntilMs = nowMs + this.ejectionMs;
-		this.ejectionMs = Math.min(this.ejectionMs * 2, LONGEST_EJECTION_MS);
+		this.ejectionMs = Math.min(this.ejectionMs * 2, MAX_EJECTION_MS);
 	}
 
 	/**
-	 * Take what the upstream said of its load.
-	 * @param fresh the report
-	 * @param nowMs the steady clock
+	 * Record a load report of the upstream.
+	 * @param updated the report
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
-	public void onReport(LoadReport fresh, long nowMs) {
-		this.report = fresh;
+	public void onReport(LoadReport updated, long nowMs) {
+		this.report = updated;
 		this.reportedAtMs = nowMs;
 	}
 
 	/**
-	 * Return the latest report.
-	 * @param nowMs the steady clock
-	 * @return the report, unless it is too old to tell anything
+	 * Return the latest load report.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the report; empty if there is none or it has expired
 	 */
 	public Optional<LoadReport> report(long nowMs) {
 		return (nowMs - this.reportedAtMs > REPORT_TTL_MS) ? Optional.empty() : Optional.ofNullable(this.report);
 	}
 
 	/**
-	 * Return how many requests of this VM are there.
+	 * Return the number of requests that this VM has in flight at the upstream.
 	 * @return the count
 	 */
 	public int inFlight() {
@@ -203,17 +206,17 @@
 	}
 
 	/**
-	 * Return how long the prompts take that this VM has sent there and that have not been
-	 * read.
-	 * @return milliseconds
+	 * Return the estimated prefill time of the prompts that this VM has sent and whose
+	 * prefill is not done.
+	 * @return the time in milliseconds
 	 */
-	public double readMsWaiting() {
-		return this.readMsWaiting;
+	public double pendingPrefillMs() {
+		return this.pendingPrefillMs;
 	}
 
 	/**
-	 * Return the share of recent answers that reported a failure.
-	 * @return between 0 and 1
+	 * Return the moving average of the failure rate of replies.
+	 * @return a value between 0 and 1
 	 */
 	public double errorRate() {
 		return this.errorRate;
--- a/core/src/main/java/org/tallycart/core/upstream/WindowedRetryBudget.java
+++ b/core/src/main/java/org/tallycart/core/upstream/WindowedRetryBudget.java
@@ -4,18 +4,21 @@
 import java.util.Deque;
 
 /**
- * This VM's part of the budget for sending requests again, which all VMs share: a share
- * of its own arrivals, and of the slack what falls to one of the live VMs.
+ * This VM's share of the retry budget of all VMs, over a sliding window: a fraction of
+ * its own arrivals, and an equal share of a slack that is divided among the live VMs.
  * <p>
- * Invariant: in no window are more repeats granted than that. Not thread-safe: belongs to
+ * Invariant: no window grants more retries than the budget. Not thread-safe: belongs to
  * one event loop.
  *
  * @since 0.1
  */
 public final class WindowedRetryBudget {
 
-	/** Part of the budget that is used, as VMs may count each other late. */
-	private static final double USED_SHARE = 0.8;
+	/**
+	 * Fraction of the budget that is used; the rest covers delays in the count of live
+	 * VMs.
+	 */
+	private static final double USED_FRACTION = 0.8;
 
 	private final double ratio;
 
@@ -25,13 +28,13 @@
 
 	private final Deque<Long> arrivals = new ArrayDeque<>();
 
-	private final Deque<Long> repeats = new ArrayDeque<>();
+	private final Deque<Long> retries = new ArrayDeque<>();
 
 	/**
 	 * Create a budget.
-	 * @param ratio repeats for each arrival
-	 * @param windowMs the window, in milliseconds
-	 * @param slack repeats beside those, over all VMs
+	 * @param ratio the number of retries for each arrival
+	 * @param windowMs the length of the window, in milliseconds
+	 * @param slack the number of additional retries in a window, over all VMs
 	 */
 	public WindowedRetryBudget(double ratio, long windowMs, double slack) {
 		this.ratio = ratio;
@@ -40,8 +43,8 @@
 	}
 
 	/**
-	 * Record a request's first send.
-	 * @param nowMs the steady clock
+	 * Record the first attempt of a request.
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void onArrival(long nowMs) {
 		this.arrivals.addLast(nowMs);
@@ -49,19 +52,19 @@
 	}
 
 	/**
-	 * Ask to send a request again.
-	 * @param sharingVms how many VMs share the slack
-	 * @param nowMs the steady clock
-	 * @return whether it may be sent
+	 * Acquire a retry, if the budget allows one.
+	 * @param sharingVms the number of VMs that share the slack
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return true if the request may be retried
 	 */
 	public boolean tryAcquire(int sharingVms, long nowMs) {
 		expire(this.arrivals, nowMs);
-		expire(this.repeats, nowMs);
-		double allowed = USED_SHARE * (this.ratio * this.arrivals.size() + this.slack / Math.max(sharingVms, 1));
-		if (this.repeats.size() + 1 > allowed) {
+		expire(this.retries, nowMs);
+		double allowed = USED_FRACTION * (this.ratio * this.arrivals.size() + this.slack / Math.max(sharingVms, 1));
+		if (this.retries.size() + 1 > allowed) {
 			return false;
 		}
-		this.repeats.addLast(nowMs);
+		this.retries.addLast(nowMs);
 		return true;
 	}
 
--- a/core/src/main/java/org/tallycart/core/upstream/package-info.java
+++ b/core/src/main/java/org/tallycart/core/upstream/package-info.java
@@ -1,9 +1,7 @@
 /**
- * Which upstream gets a request, and how often a request may be sent again. Reads no
- * clock and opens no socket. Promises kept: an upstream that is leaving receives no new
- * work; repeats stay within the budget of all VMs. Tests are in
- * {@code UpstreamDirectoryTests}, {@code EngineChooserTests} and
- * {@code RetryWindowTests}.
+ * Selection of the upstream for a request, and the retry budget. Reads no clock and opens
+ * no socket. Draining upstreams receive no new requests, and retries stay within the
+ * budget of all VMs.
  */
 @NullMarked
 package org.tallycart.core.upstream;
--- a/core/src/test/java/org/tallycart/core/upstream/ChooserTests.java
+++ b/core/src/test/java/org/tallycart/core/upstream/ChooserTests.java
@@ -21,16 +21,16 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for the choice of engines and plain upstreams.
+ * Tests for {@link EngineChooser} and {@link LeastLoadedChooser}.
  */
 public class ChooserTests {
 
 	private final List<UpstreamState> engines = new ArrayList<>();
 
-	private int requests;
+	private int requestCount;
 
 	@BeforeMethod
-	void begin() {
+	void setUp() {
 		this.engines.clear();
 		for (int i = 0; i < 8; i++) {
 			UpstreamEntry entry = UpstreamEntry.builder("e" + i, "s")
@@ -42,9 +42,9 @@
 	}
 
 	private Prompt prompt(String session) {
-		this.requests++;
+		this.requestCount++;
 		return new Prompt("m", 9_000, List.of(new PromptPart("shared", 2_500), new PromptPart(session, 3_800),
-				new PromptPart("own" + this.requests, 2_700)));
+				new PromptPart("own" + this.requestCount, 2_700)));
 	}
 
 	private UpstreamChoice choose(Prompt prompt) {
@@ -64,22 +64,22 @@
 	}
 
 	@Test
-	void aLostEngineMovesOnlyItsOwnSessions() {
-		UpstreamState lost = this.engines.get(3);
+	void aRemovedEngineMovesOnlyItsOwnSessions() {
+		UpstreamState removed = this.engines.get(3);
 		Map<String, UpstreamState> before = new HashMap<>();
 		for (int i = 0; i < 100; i++) {
 			before.put("s" + i, choose(prompt("s" + i)).upstream());
 		}
-		this.engines.remove(lost);
+		this.engines.remove(removed);
 		before.forEach((session, home) -> {
-			if (home != lost) {
+			if (home != removed) {
 				assertEquals(choose(prompt(session)).upstream(), home);
 			}
 		});
 	}
 
 	@Test
-	void aBusyHomeYieldsAndIsCopiedFrom() {
+	void aBusyHomeIsBypassedAndCopiedFrom() {
 		UpstreamState home = choose(prompt("s")).upstream();
 		home.onSend(120);
 		assertEquals(choose(prompt("s")).upstream(), home, "a short wait is cheaper than a copy");
@@ -90,7 +90,7 @@
 	}
 
 	@Test
-	void whereThereIsNoPartOfTheRequestsOwnTheLastNamesTheSession() {
+	void withoutAPrivatePartTheLastPartIdentifiesTheSession() {
 		Prompt prompt = new Prompt("m", 900, List.of(new PromptPart("a", 500), new PromptPart("b", 200)));
 		assertEquals(prompt.session(), "b");
 		assertEquals(prompt.sharedTokens(), 700);
@@ -99,7 +99,7 @@
 	}
 
 	@Test
-	void theFirstPartIsCopiedFromOneEngineUnlessTheHomeIsThatOne() {
+	void theFirstPartIsCopiedFromItsHomeEngineOnly() {
 		Set<UpstreamState> sources = new HashSet<>();
 		for (int i = 0; i < 100; i++) {
 			UpstreamChoice choice = choose(prompt("s" + i));
@@ -117,31 +117,31 @@
 	}
 
 	@Test
-	void aPlainRequestGoesToTheLeastTakenUpstream() {
+	void aPlainRequestGoesToTheLeastLoadedUpstream() {
 		UpstreamState own = this.engines.get(1);
-		assertEquals(plain(), own, "the own failure domain, where all are idle");
+		assertEquals(choosePlain(), own, "the own failure domain, where all are idle");
 		own.onReport(new LoadReport(100, 20, 128), 0);
-		assertNotEquals(plain(), own);
+		assertNotEquals(choosePlain(), own);
 	}
 
-	private UpstreamState plain() {
+	private UpstreamState choosePlain() {
 		return LeastLoadedChooser.choose(this.engines, "d1", 0).orElseThrow().upstream();
 	}
 
 	@Test
 	void aFailingUpstreamIsAvoided() {
-		UpstreamState own = plain();
+		UpstreamState own = choosePlain();
 		for (int i = 0; i < 10; i++) {
 			own.onError();
 		}
-		assertNotEquals(plain(), own);
+		assertNotEquals(choosePlain(), own);
 	}
 
 	@Test
-	void anOldReportSaysNothing() {
-		UpstreamState own = plain();
+	void anExpiredReportIsIgnored() {
+		UpstreamState own = choosePlain();
 		own.onReport(new LoadReport(128, 20, 128), -5_000);
-		assertEquals(plain(), own);
+		assertEquals(choosePlain(), own);
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/upstream/ColdStartLimiterTests.java
+++ b/core/src/test/java/org/tallycart/core/upstream/ColdStartLimiterTests.java
@@ -22,9 +22,8 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for what cold upstreams get from many VMs together. The figures are those of a
- * sheet: 86 VMs, 98 engines that bear 6.7 requests a second while cold for 3 s, and a
- * limit of one and a half times that and five in any second.
+ * Tests that many VMs together stay below the rate that cold upstreams tolerate: 1.5
+ * times their rate plus five requests in any second.
  */
 public class ColdStartLimiterTests {
 
@@ -34,19 +33,19 @@
 
 	private static final double RATE = 6.7;
 
-	private static final double MOST_IN_A_SECOND = RATE * 1.5 + 5;
+	private static final double MAX_PER_SECOND = RATE * 1.5 + 5;
 
 	private final List<UpstreamState> engines = new ArrayList<>();
 
-	private final Map<UpstreamState, Deque<Long>> sent = new HashMap<>();
+	private final Map<UpstreamState, Deque<Long>> recentSendsMs = new HashMap<>();
 
-	private double most;
+	private double maxPerSecond;
 
 	@BeforeMethod
-	void begin() {
+	void setUp() {
 		this.engines.clear();
-		this.sent.clear();
-		this.most = 0;
+		this.recentSendsMs.clear();
+		this.maxPerSecond = 0;
 	}
 
 	private void addEngines(int cold) {
@@ -64,24 +63,24 @@
 		return IntStream.range(from, to).mapToObj((i) -> "vm-" + i).toList();
 	}
 
-	private static List<ColdStartLimiter> limits(Collection<String> known, Collection<String> knownToOthers) {
+	private static List<ColdStartLimiter> limits(Collection<String> vms, Collection<String> vmsOfOthers) {
 		List<ColdStartLimiter> limits = new ArrayList<>();
 		for (int i = 0; i < VMS; i++) {
-			Collection<String> view = (i % 2 == 0) ? known : knownToOthers;
+			Collection<String> view = (i % 2 == 0) ? vms : vmsOfOthers;
 			limits.add(new ColdStartLimiter("vm-" + i, () -> view, (service) -> RATE));
 		}
 		return limits;
 	}
 
-	// Plays three seconds; callers come to the first VMs only. Returns which share was
-	// sent.
-	private double play(List<ColdStartLimiter> limits, int callersVms, int perSecond, int sessions) {
+	// Simulates three seconds in which only the first VMs receive requests. Returns the
+	// fraction of requests that were sent.
+	private double simulate(List<ColdStartLimiter> limits, int entryVms, int perSecond, int sessions) {
 		Random random = new Random(7);
 		int served = 0;
 		int all = perSecond * 3;
 		for (int i = 0; i < all; i++) {
 			long now = i * 1_000L / perSecond;
-			ColdStartLimiter limit = limits.get(random.nextInt(callersVms));
+			ColdStartLimiter limit = limits.get(random.nextInt(entryVms));
 			Prompt prompt = new Prompt("m", 9_000,
 					List.of(new PromptPart("shared", 2_500), new PromptPart("s" + random.nextInt(sessions), 3_800)));
 			UpstreamState engine = EngineChooser.choose(prompt, limit.admit(this.engines, now), now)
@@ -98,53 +97,52 @@
 	}
 
 	private void count(UpstreamState engine, long now) {
-		Deque<Long> times = this.sent.computeIfAbsent(engine, (key) -> new ArrayDeque<>());
+		Deque<Long> times = this.recentSendsMs.computeIfAbsent(engine, (key) -> new ArrayDeque<>());
 		times.addLast(now);
 		while (now - times.peekFirst() >= 1_000) {
 			times.removeFirst();
 		}
-		if (engine.cold(now)) {
-			this.most = Math.max(this.most, times.size());
+		if (engine.isCold(now)) {
+			this.maxPerSecond = Math.max(this.maxPerSecond, times.size());
 		}
 	}
 
 	/**
-	 * Pattern: a whole failure domain returns cold while the others are under a burst,
-	 * and a sixth of all requests is about one thing.
+	 * A failure domain restarts during a burst of requests for a few sessions.
 	 */
 	@Test
-	void whileOthersAreWarmColdOnesGetNothing() {
+	void coldUpstreamsReceiveNothingWhileEnoughOthersAreWarm() {
 		addEngines(ENGINES / 4);
-		assertEquals(play(limits(names(0, VMS), names(0, VMS)), VMS, 430, 6), 1.0);
-		assertEquals(this.most, 0.0);
+		assertEquals(simulate(limits(names(0, VMS), names(0, VMS)), VMS, 430, 6), 1.0);
+		assertEquals(this.maxPerSecond, 0.0);
 	}
 
 	@DataProvider
-	static Object[][] views() {
+	static Object[][] vmLists() {
 		return new Object[][] { { 0, VMS, VMS }, { 20, 50, VMS }, { 43, VMS, VMS }, { 0, VMS, 6 }, { 20, 50, 6 } };
 	}
 
 	/**
-	 * Pattern: all engines were replaced at once, every other VM knows of a part of the
-	 * VMs only, and callers come to all VMs or to six.
+	 * All engines restart at once, every other VM has an incomplete list of VMs, and
+	 * requests arrive at all VMs or at six.
 	 */
-	@Test(dataProvider = "views")
-	void whereAllAreColdNoneGetsMoreThanItBears(int knownFrom, int knownTo, int callersVms) {
+	@Test(dataProvider = "vmLists")
+	void noColdUpstreamReceivesMoreThanItTolerates(int firstVm, int lastVm, int entryVms) {
 		addEngines(ENGINES);
-		play(limits(names(0, VMS), names(knownFrom, knownTo)), callersVms, 1_300, 40);
-		assertTrue(this.most <= MOST_IN_A_SECOND, this.most + " in a second");
+		simulate(limits(names(0, VMS), names(firstVm, lastVm)), entryVms, 1_300, 40);
+		assertTrue(this.maxPerSecond <= MAX_PER_SECOND, this.maxPerSecond + " in a second");
 	}
 
-	/** Pattern: all engines were replaced at once, under the sheet's load. */
+	/** All engines restart at once under nominal load. */
 	@Test
-	void whereAllAreColdTheyAreUsedByTheVmsThatMay() {
+	void coldUpstreamsAreUsedIfAllAreCold() {
 		addEngines(ENGINES);
-		double served = play(limits(names(0, VMS), names(0, VMS)), VMS, 173, 600);
+		double served = simulate(limits(names(0, VMS), names(0, VMS)), VMS, 173, 600);
 		assertTrue(served > 0.7, "served " + served);
 	}
 
 	@Test
-	void aVmThatKnowsNoOtherSendsNothingToAColdUpstream() {
+	void aVmWithoutAListOfVmsSendsNothingToAColdUpstream() {
 		addEngines(ENGINES);
 		ColdStartLimiter alone = new ColdStartLimiter("vm-1", List::of, (service) -> RATE);
 		assertTrue(alone.admit(this.engines, 0).isEmpty());
--- a/core/src/test/java/org/tallycart/core/upstream/UpstreamDirectoryTests.java
+++ b/core/src/test/java/org/tallycart/core/upstream/UpstreamDirectoryTests.java
@@ -17,14 +17,14 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for the directory of upstreams.
+ * Tests for {@link UpstreamDirectory}.
  */
 public class UpstreamDirectoryTests {
 
 	private UpstreamDirectory directory = new UpstreamDirectory();
 
 	@BeforeMethod
-	void begin() {
+	void setUp() {
 		this.directory = new UpstreamDirectory();
 		this.directory.replace(List.of(entry("a", false), entry("b", false)), 0);
 	}
@@ -51,7 +51,7 @@
 	}
 
 	@Test
-	void anUnreachableUpstreamIsLeftOutForAWhile() {
+	void anUnreachableUpstreamIsEjectedForSomeTime() {
 		this.directory.activeUpstreams("s")
 			.stream()
 			.filter((s) -> s.entry().id().equals("a"))
@@ -63,13 +63,13 @@
 	}
 
 	@Test
-	void whereAllAreUnreachableAllAreTried() {
+	void ifAllUpstreamsAreUnreachableAllAreCandidates() {
 		this.directory.activeUpstreams("s").forEach((state) -> state.onUnreachable(0));
 		assertEquals(candidates(100), List.of("a", "b"));
 	}
 
 	@Test
-	void entriesThatLapseInAnOutageAreKeptUntilTheyShouldBeBack() {
+	void entriesThatVanishInAnOutageAreKeptForTheGracePeriod() {
 		this.directory.onStoreLost();
 		this.directory.remove("a", 100);
 		this.directory.onStoreBack(1_000);
@@ -80,9 +80,12 @@
 		assertEquals(candidates(3_300), List.of("b"), "still missing: gone");
 	}
 
-	/** Its results have to be given back while it is used, or its room fills up. */
+	/**
+	 * Results have to be released at an upstream that is in use, or its result memory
+	 * fills up.
+	 */
 	@Test
-	void anUpstreamWhoseEntryLapsedInAnOutageIsFoundByItsAddress() {
+	void anUpstreamThatVanishedInAnOutageIsFoundByItsAddress() {
 		this.directory.onStoreLost();
 		this.directory.remove("a", 100);
 		assertEquals(this.directory.findByAddress(entry("a", false).address()).orElseThrow().entry().id(), "a");
@@ -91,7 +94,7 @@
 	}
 
 	@Test
-	void anEntryThatIsBackIsTheSameUpstream() {
+	void anEntryThatReturnsBelongsToTheSameUpstream() {
 		this.directory.onStoreLost();
 		this.directory.remove("a", 100);
 		this.directory.onStoreBack(1_000);
@@ -101,7 +104,7 @@
 	}
 
 	@Test
-	void aDrainingUpstreamThatVanishesInAnOutageIsGone() {
+	void aDrainingUpstreamThatVanishesInAnOutageIsRemoved() {
 		this.directory.put(entry("a", true), 50);
 		this.directory.onStoreLost();
 		this.directory.remove("a", 100);
@@ -110,7 +113,7 @@
 	}
 
 	@Test
-	void whatAnotherVmSaysOfAnOutageKeepsVanishedEntriesForThatTime() {
+	void aGracePeriodFromAnotherVmKeepsVanishedEntries() {
 		assertEquals(this.directory.remainingGraceMs(0), 0);
 		this.directory.extendGraceUntil(1_500);
 		assertEquals(this.directory.remainingGraceMs(1_000), 500);
@@ -151,7 +154,7 @@
 	}
 
 	@Test
-	void anEntryFromBeforeARestartComesLateAndChangesNothing() {
+	void aStaleEntryFromBeforeARestartIsIgnored() {
 		this.directory.put(started(2_000), 10);
 		UpstreamState present = state("a");
 		this.directory.put(started(1_000), 20);
@@ -159,9 +162,9 @@
 		assertEquals(present.entry().startedMs().getAsLong(), 2_000);
 	}
 
-	/** Pattern: a bad entry written over a good one, while the store comes and goes. */
+	/** A valid entry is overwritten by an invalid one during an outage of the store. */
 	@Test
-	void anUpstreamWhoseEntryTurnedUnreadableIsNotUsedInAnOutageEither() {
+	void anUpstreamWithAnInvalidEntryIsNotUsedInAnOutage() {
 		this.directory.onStoreLost();
 		this.directory.removeInvalid("a");
 		assertEquals(candidates(100), List.of("b"));
@@ -170,9 +173,9 @@
 		assertEquals(candidates(300), List.of(), "kept as vanished until then");
 	}
 
-	/** Pattern: a failure domain is emptied and taken back. */
+	/** A failure domain is evacuated and the evacuation is withdrawn. */
 	@Test
-	void upstreamsOfAnEvacuatedFailureDomainGetNothingUntilItIsTakenBack() {
+	void upstreamsOfAnEvacuatedFailureDomainAreNoCandidates() {
 		this.directory.put(UpstreamEntry.builder("far", "s").location(new Address("10.0.0.2", 1), "other").build(), 0);
 		this.directory.setEvacuatedDomains(Set.of("d"));
 		assertEquals(candidates(0), List.of("far"));
@@ -183,7 +186,7 @@
 	}
 
 	@Test
-	void nothingIsSentBeforeItIsKnownWhatIsEvacuated() {
+	void thereAreNoCandidatesBeforeEvacuationsAreLoaded() {
 		this.directory.expectEvacuations();
 		assertFalse(this.directory.isLoaded());
 		assertEquals(candidates(0), List.of());
@@ -193,19 +196,19 @@
 	}
 
 	@Test
-	void anUpstreamIsColdForAsLongAsItsEntrySaysAndMayTurnColdAgain() {
+	void anUpstreamIsColdForTheTimeInItsEntryAndMayTurnColdAgain() {
 		this.directory.put(UpstreamEntry.builder("a", "s").coldMs(3_000).build(), 1_000);
-		assertTrue(state("a").cold(3_900));
+		assertTrue(state("a").isCold(3_900));
 		this.directory.put(UpstreamEntry.builder("a", "s").coldMs(3_000).build(), 3_500);
-		assertFalse(state("a").cold(4_100), "an entry that is read again is no news");
+		assertFalse(state("a").isCold(4_100), "an entry that is read again is no news");
 		this.directory.put(UpstreamEntry.builder("a", "s").coldMs(0).build(), 4_100);
 		this.directory.put(UpstreamEntry.builder("a", "s").coldMs(2_500).build(), 5_000);
 		assertEquals(state("a").remainingColdMs(5_500), 2_000);
 	}
 
-	/** Pattern: one that leaves ends, and another starts at its address. */
+	/** A draining upstream stops, and another one starts at its address. */
 	@Test
-	void theNextUpstreamAtAnAddressIsNotTheOneThatHasLeft() {
+	void anAddressReusedByAnotherUpstreamIsNotDraining() {
 		this.directory.unavailability().onDraining("a", 10);
 		assertEquals(candidates(20), List.of("b"));
 		this.directory.remove("a", 30);
@@ -215,13 +218,13 @@
 	}
 
 	@DataProvider
-	static Object[][] words() {
+	static Object[][] drainingSources() {
 		return new Object[][] { { true }, { false } };
 	}
 
-	/** Pattern: the store forgets that one drains, and lists it as ready again. */
-	@Test(dataProvider = "words")
-	void anEntryThatComesBackAsReadyDoesNotTakeTheLeavingBack(boolean byEntry) {
+	/** A rollback of the store lists a draining upstream as ready again. */
+	@Test(dataProvider = "drainingSources")
+	void anEntryThatReturnsAsReadyDoesNotRevokeDraining(boolean byEntry) {
 		if (byEntry) {
 			this.directory.put(entry("a", true), 10);
 		}
@@ -234,15 +237,15 @@
 	}
 
 	@Test
-	void theRestingGetNothingUntilTheirRestIsOver() {
+	void anUpstreamIsNoCandidateDuringItsBackoff() {
 		this.directory.unavailability().onBackoff("a", 1_000, 0);
 		assertEquals(candidates(999), List.of("b"));
 		assertEquals(candidates(1_000), List.of("a", "b"));
 	}
 
-	/** Pattern: all rest, or cannot be reached: those that rest are not tried instead. */
+	/** All upstreams are backing off or unreachable. */
 	@Test
-	void whereTheOthersCannotBeReachedTheRestingGetNothingAllTheSame() {
+	void backoffAppliesAlsoIfTheOthersAreUnreachable() {
 		this.directory.unavailability().onBackoff("a", 1_000, 0);
 		state("b").onUnreachable(0);
 		assertEquals(candidates(100), List.of("b"));
@@ -252,7 +255,7 @@
 	}
 
 	@Test
-	void whereAllLeaveNoneWillAcceptRequests() {
+	void ifAllUpstreamsDrainNoneAcceptsRequests() {
 		assertEquals(this.directory.acceptsInMs("s", 0), 0);
 		this.directory.unavailability().onDraining("a", 0);
 		this.directory.put(entry("b", true), 0);
--- a/core/src/test/java/org/tallycart/core/upstream/WindowedRetryBudgetTests.java
+++ b/core/src/test/java/org/tallycart/core/upstream/WindowedRetryBudgetTests.java
@@ -10,49 +10,49 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for the budget of repeats.
+ * Tests for {@link WindowedRetryBudget}.
  */
 public class WindowedRetryBudgetTests {
 
 	private static final long WINDOW_MS = 10_000;
 
 	@Test
-	void repeatsAreAShareOfArrivalsAndOfTheSlack() {
-		WindowedRetryBudget window = new WindowedRetryBudget(0.2, WINDOW_MS, 50);
+	void retriesAreLimitedByArrivalsAndSlack() {
+		WindowedRetryBudget budget = new WindowedRetryBudget(0.2, WINDOW_MS, 50);
 		for (int i = 0; i < 100; i++) {
-			window.onArrival(i);
+			budget.onArrival(i);
 		}
 		int granted = 0;
-		while (window.tryAcquire(5, 200)) {
+		while (budget.tryAcquire(5, 200)) {
 			granted++;
 		}
 		assertEquals(granted, 24, "0.8 x (0.2 x 100 + 50 / 5)");
-		assertTrue(window.tryAcquire(5, 201 + WINDOW_MS), "the slack of the next window");
+		assertTrue(budget.tryAcquire(5, 201 + WINDOW_MS), "the slack of the next window");
 	}
 
 	@Test
 	void allVmsTogetherStayWithinTheBudgetInEveryWindow() {
 		Random random = new Random(5);
 		int vms = 6;
-		List<WindowedRetryBudget> windows = new ArrayList<>();
+		List<WindowedRetryBudget> budgets = new ArrayList<>();
 		for (int i = 0; i < vms; i++) {
-			windows.add(new WindowedRetryBudget(0.2, WINDOW_MS, 52));
+			budgets.add(new WindowedRetryBudget(0.2, WINDOW_MS, 52));
 		}
 		List<Long> arrivals = new ArrayList<>();
-		List<Long> repeats = new ArrayList<>();
+		List<Long> retries = new ArrayList<>();
 		for (long now = 0; now < 60_000; now += 10) {
-			WindowedRetryBudget window = windows.get(random.nextInt(vms));
+			WindowedRetryBudget budget = budgets.get(random.nextInt(vms));
 			if (random.nextInt(3) == 0) {
-				window.onArrival(now);
+				budget.onArrival(now);
 				arrivals.add(now);
 			}
-			if (random.nextInt(2) == 0 && window.tryAcquire(vms, now)) {
-				repeats.add(now);
+			if (random.nextInt(2) == 0 && budget.tryAcquire(vms, now)) {
+				retries.add(now);
 			}
 		}
 		for (long begin = 0; begin < 50_000; begin += 500) {
 			double allowed = 0.2 * within(arrivals, begin) + 52;
-			assertTrue(within(repeats, begin) <= allowed);
+			assertTrue(within(retries, begin) <= allowed);
 		}
 	}
 
