--- a/core/src/main/java/org/tallycart/core/fleet/LeaderRanking.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderRanking.java
@@ -16,84 +16,83 @@
 import org.tallycart.core.membership.RendezvousHash;
 
 /**
- * The order in which VMs come to hold duties: those with most capacity first, and by
- * rendezvous hash among equals. A VM that is the first for a heavy duty comes after its
- * equals for the other heavy ones, so two pools with load meet at one VM only where there
- * are fewer VMs of its capacity than pools. By hash alone, two of three pools meet at one
- * of 18 equal VMs in one deployment of six.
+ * Ranks the VMs as candidates of leader roles: by capacity, and by rendezvous hash among
+ * VMs of equal capacity. A VM that ranks first for a heavy role ranks after its equals
+ * for the other heavy roles, so one VM leads several heavy roles only if there are fewer
+ * VMs of its capacity than roles.
  * <p>
- * Invariant: VMs that know the same records and want the same heavy duties rank alike.
- * Not thread-safe: guarded by {@link LeaderTable}.
+ * Invariant: VMs with the same records and the same watched heavy roles compute the same
+ * ranks. Not thread-safe: guarded by {@link LeaderTable}.
  */
 final class LeaderRanking {
 
 	private final Map<String, VmRecord> records = new HashMap<>();
 
-	private final Map<LeaderRole, List<String>> wanted = new HashMap<>();
+	private final Map<LeaderRole, List<String>> watched = new HashMap<>();
 
-	// Of duties whose holders are not asked; made when they are needed.
-	private final Map<LeaderRole, List<String>> others = new HashMap<>();
+	// Ranks of roles that are not watched, computed on demand.
+	private final Map<LeaderRole, List<String>> unwatched = new HashMap<>();
 
-	// The same records come again with each list, and rank as before.
-	void know(Collection<VmRecord> known) {
-		Map<String, VmRecord> fresh = new HashMap<>();
-		known.forEach((record) -> fresh.put(record.vm(), record));
-		if (fresh.equals(this.records)) {
+	// Each list repeats the same records, for which the ranks do not change.
+	void updateRecords(Collection<VmRecord> newRecords) {
+		Map<String, VmRecord> updated = new HashMap<>();
+		newRecords.forEach((record) -> updated.put(record.vm(), record));
+		if (updated.equals(this.records)) {
 			return;
 		}
 		this.records.clear();
-		this.records.putAll(fresh);
-		this.others.clear();
-		rankAll(Set.copyOf(this.wanted.keySet()));
+		this.records.putAll(updated);
+		this.unwatched.clear();
+		rankAll(Set.copyOf(this.watched.keySet()));
 	}
 
-	void want(Collection<LeaderRole> duties) {
-		Set<LeaderRole> fresh = Set.copyOf(duties);
-		if (!fresh.equals(this.wanted.keySet())) {
-			rankAll(fresh);
+	void setWatchedRoles(Collection<LeaderRole> roles) {
+		Set<LeaderRole> updated = Set.copyOf(roles);
+		if (!updated.equals(this.watched.keySet())) {
+			rankAll(updated);
 		}
 	}
 
-	private void rankAll(Set<LeaderRole> duties) {
-		this.wanted.clear();
-		Set<String> busy = new HashSet<>();
-		for (LeaderRole duty : duties.stream().sorted(Comparator.comparing(LeaderRole::subject)).toList()) {
-			List<String> rank = rank(duty, duty.heavy() ? busy : Set.of());
-			this.wanted.put(duty, rank);
-			if (duty.heavy()) {
-				rank.stream().findFirst().ifPresent(busy::add);
+	private void rankAll(Set<LeaderRole> roles) {
+		this.watched.clear();
+		Set<String> heavyLeaders = new HashSet<>();
+		for (LeaderRole role : roles.stream().sorted(Comparator.comparing(LeaderRole::name)).toList()) {
+			List<String> rank = computeRank(role, role.heavy() ? heavyLeaders : Set.of());
+			this.watched.put(role, rank);
+			if (role.heavy()) {
+				rank.stream().findFirst().ifPresent(heavyLeaders::add);
 			}
 		}
 	}
 
-	private List<String> rank(LeaderRole duty, Set<String> busy) {
+	private List<String> computeRank(LeaderRole role, Set<String> heavyLeaders) {
 		Map<Integer, List<String>> byCapacity = new TreeMap<>(Comparator.reverseOrder());
 		this.records.values()
 			.stream()
-			.filter(duty::mayBeHeldBy)
+			.filter(role::isEligible)
 			.forEach((record) -> byCapacity.computeIfAbsent(record.capacity(), (key) -> new ArrayList<>())
 				.add(record.vm()));
 		List<String> ranked = new ArrayList<>();
 		for (List<String> equals : byCapacity.values()) {
-			List<String> byHash = RendezvousHash.top(duty.subject(), equals, equals.size());
-			byHash.stream().filter((vm) -> !busy.contains(vm)).forEach(ranked::add);
-			byHash.stream().filter(busy::contains).forEach(ranked::add);
+			List<String> byHash = RendezvousHash.top(role.name(), equals, equals.size());
+			byHash.stream().filter((vm) -> !heavyLeaders.contains(vm)).forEach(ranked::add);
+			byHash.stream().filter(heavyLeaders::contains).forEach(ranked::add);
 		}
 		return ranked;
 	}
 
-	Collection<List<String>> ofWanted() {
-		return this.wanted.values();
+	Collection<List<String>> watchedRanks() {
+		return this.watched.values();
 	}
 
-	// Empty for a duty that is not wanted.
-	List<String> ofWanted(LeaderRole duty) {
-		return this.wanted.getOrDefault(duty, List.of());
+	// Empty for a role that is not watched.
+	List<String> watchedRank(LeaderRole role) {
+		return this.watched.getOrDefault(role, List.of());
 	}
 
-	List<String> of(LeaderRole duty) {
-		List<String> rank = this.wanted.get(duty);
-		return (rank != null) ? rank : this.others.computeIfAbsent(duty, (key) -> rank(key, Set.of()));
+	List<String> rankOf(LeaderRole role) {
+		List<String> rank = this.watched.get(role);
+		return (rank != null) ? rank : this.unwatched.computeIfAbsent(role, (key) -> computeRank(key, Set.of()));
 	}
 
 	Optional<VmRecord> record(String vm) {
--- a/core/src/main/java/org/tallycart/core/fleet/LeaderTable.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderTable.java
@@ -11,43 +11,46 @@
 import java.util.Set;
 
 /**
- * Which VM holds each duty, as one VM sees it, and which VMs it has to ask whether they
- * live.
+ * Elects the leader of each role, as one VM sees it, and schedules the heartbeats that
+ * this needs.
  * <p>
- * For each duty all VMs rank the VMs that may hold it alike, see {@link LeaderRanking}.
- * The first that works holds it. A VM asks only the holder and the next in rank, and for
- * 10 s more those that were, so the number of questions does not depend on the size of
- * the fleet. Views may differ for a while, so two VMs may hold a duty at the same time;
- * duties have to bear that.
+ * All VMs rank the candidates of a role alike, see {@link LeaderRanking}, and the first
+ * available one is the leader. A VM sends heartbeat requests only to the leader and the
+ * standby, and for some time to former ones, so the number of heartbeats of a VM does not
+ * depend on the size of the fleet. Views may differ for a while, so a role must tolerate
+ * two leaders at the same time.
  * <p>
- * Invariants: a holder is this VM itself, or a VM that answered lately; a VM that drains
- * holds nothing. Not thread-safe: belongs to one event loop.
+ * Invariants: a leader is this VM itself, or a VM that replied recently; a draining VM
+ * leads no role. Not thread-safe: belongs to one event loop.
  *
  * @since 0.1
  */
 public final class LeaderTable implements LeaderView {
 
-	/** How many VMs that work are kept in touch with for a duty: one, and a spare. */
-	private static final int WANTED = 2;
+	/**
+	 * Number of available VMs that receive heartbeat requests for a role: the leader and
+	 * a standby.
+	 */
+	private static final int LIVE_PEERS_PER_ROLE = 2;
 
 	/**
-	 * How long a VM that lives and has no rank any more is still asked, in milliseconds:
-	 * what it was asked for while it held a duty is done, or useless, by then.
+	 * Time for which a former leader or standby still receives heartbeat requests, in
+	 * milliseconds; the work that it accepted as the leader is done or obsolete by then.
 	 */
-	private static final long FORMER_MS = 10_000;
+	private static final long FORMER_ROLE_MS = 10_000;
 
-	/** A pause between two ticks that is longer means that this VM stood still. */
-	private static final long STOOD_STILL_MS = 500;
+	/** Time between two ticks above which this VM itself was paused, in milliseconds. */
+	private static final long PAUSE_THRESHOLD_MS = 500;
 
 	private final String vm;
 
-	private final LeaderRanking ranks = new LeaderRanking();
+	private final LeaderRanking ranking = new LeaderRanking();
 
-	private final Map<String, PeerLiveness> links = new HashMap<>();
+	private final Map<String, PeerLiveness> peers = new HashMap<>();
 
 	private boolean draining;
 
-	private long tickedMs = -1;
+	private long lastTickMs = -1;
 
 	/**
 	 * Create a table.
@@ -58,35 +61,35 @@
 	}
 
 	/**
-	 * Take the VMs that may exist.
-	 * @param known their records
+	 * Update the VMs that may exist.
+	 * @param records the records of all VMs
 	 */
-	public void updateRecords(Collection<VmRecord> known) {
-		this.ranks.know(known);
-		this.links.keySet().retainAll(this.ranks.vms());
+	public void updateRecords(Collection<VmRecord> records) {
+		this.ranking.updateRecords(records);
+		this.peers.keySet().retainAll(this.ranking.vms());
 	}
 
 	/**
-	 * Take the duties that matter to this VM.
-	 * @param duties all of them
+	 * Set the roles whose leaders this VM uses.
+	 * @param roles all watched roles
 	 */
-	public void setWatchedRoles(Collection<LeaderRole> duties) {
-		this.ranks.want(duties);
+	public void setWatchedRoles(Collection<LeaderRole> roles) {
+		this.ranking.setWatchedRoles(roles);
 	}
 
 	@Override
-	public String leader(LeaderRole duty) {
-		return this.ranks.ofWanted(duty).stream().filter(this::works).findFirst().orElse(this.vm);
+	public String leader(LeaderRole role) {
+		return this.ranking.watchedRank(role).stream().filter(this::isAvailable).findFirst().orElse(this.vm);
 	}
 
 	@Override
-	public int countAhead(LeaderRole duty, long nowMs) {
+	public int countAhead(LeaderRole role, long nowMs) {
 		int ahead = 0;
-		for (String name : this.ranks.of(duty)) {
-			if (isThisAndWorks(name)) {
+		for (String name : this.ranking.rankOf(role)) {
+			if (isThisAndAvailable(name)) {
 				return ahead;
 			}
-			if (works(name) || mayAnswerYet(name, nowMs)) {
+			if (isAvailable(name) || mayStillReply(name, nowMs)) {
 				ahead++;
 			}
 		}
@@ -94,242 +97,243 @@
 	}
 
 	@Override
-	public Set<String> unresponsiveAhead(LeaderRole duty, long nowMs) {
-		Set<String> silent = new HashSet<>();
-		for (String name : this.ranks.ofWanted(duty)) {
+	public Set<String> unresponsiveAhead(LeaderRole role, long nowMs) {
+		Set<String> unresponsive = new HashSet<>();
+		for (String name : this.ranking.watchedRank(role)) {
 			if (name.equals(this.vm)) {
-				return silent;
+				return unresponsive;
 			}
-			PeerLiveness link = this.links.get(name);
-			if (link != null && link.silentSince(nowMs - PeerReachability.LATELY_MS)) {
-				silent.add(name);
+			PeerLiveness peer = this.peers.get(name);
+			if (peer != null && peer.isUnresponsiveSince(nowMs - PeerReachability.PEER_RETENTION_MS)) {
+				unresponsive.add(name);
 			}
 		}
-		return silent;
+		return unresponsive;
 	}
 
 	@Override
-	public boolean isLeaderKnown(LeaderRole duty, long nowMs) {
-		for (String name : this.ranks.ofWanted(duty)) {
-			if (works(name)) {
+	public boolean isLeaderKnown(LeaderRole role, long nowMs) {
+		for (String name : this.ranking.watchedRank(role)) {
+			if (isAvailable(name)) {
 				return true;
 			}
-			if (mayAnswerYet(name, nowMs)) {
+			if (mayStillReply(name, nowMs)) {
 				return false;
 			}
 		}
 		return true;
 	}
 
-	private boolean isThisAndWorks(String name) {
+	private boolean isThisAndAvailable(String name) {
 		return name.equals(this.vm) && !this.draining;
 	}
 
-	private boolean works(String name) {
-		PeerLiveness link = this.links.get(name);
-		return isThisAndWorks(name) || (link != null && link.working());
+	private boolean isAvailable(String name) {
+		PeerLiveness peer = this.peers.get(name);
+		return isThisAndAvailable(name) || (peer != null && peer.isAvailable());
 	}
 
-	// Another VM that was not asked yet, or not long enough ago to be taken for lost.
-	private boolean mayAnswerYet(String name, long nowMs) {
-		PeerLiveness link = this.links.get(name);
-		return !name.equals(this.vm) && (link == null || link.mayAnswerYet(nowMs));
+	// Returns true for another VM without a heartbeat request, or whose first one has not
+	// timed out.
+	private boolean mayStillReply(String name, long nowMs) {
+		PeerLiveness peer = this.peers.get(name);
+		return !name.equals(this.vm) && (peer == null || peer.mayStillReply(nowMs));
 	}
 
 	/**
-	 * Find the VMs that are to be asked now whether they live. To be called every few
-	 * hundred milliseconds at least.
-	 * @param nowMs the steady clock
-	 * @return their records
+	 * Return the VMs to which a heartbeat request is due. Must be called at least every
+	 * few hundred milliseconds.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the records of the VMs
 	 */
 	public List<VmRecord> dueHeartbeats(long nowMs) {
-		forgiveIfStoodStill(nowMs);
+		extendDeadlinesAfterPause(nowMs);
 		Map<String, Boolean> roles = new HashMap<>();
-		this.ranks.ofWanted().forEach((rank) -> collectRoles(rank, roles, nowMs));
-		keepFormer(roles, nowMs);
+		this.ranking.watchedRanks().forEach((rank) -> collectRoles(rank, roles, nowMs));
+		keepFormerPeers(roles, nowMs);
 		List<VmRecord> due = new ArrayList<>();
-		roles.forEach((name, asHolder) -> {
-			if (link(name).ask(asHolder, nowMs)) {
-				this.ranks.record(name).ifPresent(due::add);
+		roles.forEach((name, asLeader) -> {
+			if (peer(name).startHeartbeatIfDue(asLeader, nowMs)) {
+				this.ranking.record(name).ifPresent(due::add);
 			}
 		});
 		return due;
 	}
 
-	// A VM that is not asked cannot answer: without this it would be taken for lost.
-	private void keepFormer(Map<String, Boolean> roles, long nowMs) {
-		roles.keySet().forEach((name) -> link(name).onRole(nowMs));
-		this.links.forEach((name, link) -> {
-			if (link.live() && link.wantedSince(nowMs - FORMER_MS)) {
+	// Without heartbeat requests, a live VM would time out.
+	private void keepFormerPeers(Map<String, Boolean> roles, long nowMs) {
+		roles.keySet().forEach((name) -> peer(name).onRole(nowMs));
+		this.peers.forEach((name, peer) -> {
+			if (peer.isLive() && peer.hadRoleSince(nowMs - FORMER_ROLE_MS)) {
 				roles.putIfAbsent(name, false);
 			}
 		});
-		this.links.keySet().retainAll(roles.keySet());
+		this.peers.keySet().retainAll(roles.keySet());
 	}
 
-	private void forgiveIfStoodStill(long nowMs) {
-		long pause = (this.tickedMs < 0) ? 0 : nowMs - this.tickedMs;
-		this.tickedMs = nowMs;
-		if (pause > STOOD_STILL_MS) {
-			this.links.values().forEach((link) -> link.forgive(pause));
+	private void extendDeadlinesAfterPause(long nowMs) {
+		long pause = (this.lastTickMs < 0) ? 0 : nowMs - this.lastTickMs;
+		this.lastTickMs = nowMs;
+		if (pause > PAUSE_THRESHOLD_MS) {
+			this.peers.values().forEach((peer) -> peer.extendDeadline(pause));
 		}
 	}
 
 	private void collectRoles(List<String> rank, Map<String, Boolean> roles, long nowMs) {
-		int working = 0;
+		int available = 0;
 		for (String name : rank) {
-			if (working >= WANTED || isThisAndWorks(name)) {
+			if (available >= LIVE_PEERS_PER_ROLE || isThisAndAvailable(name)) {
 				return;
 			}
 			if (name.equals(this.vm)) {
 				continue;
 			}
-			PeerLiveness link = link(name);
-			boolean asHolder = link.working() && working == 0;
-			roles.merge(name, asHolder, Boolean::logicalOr);
-			if (link.working() || link.mayAnswerYet(nowMs)) {
-				working++;
+			PeerLiveness peer = peer(name);
+			boolean asLeader = peer.isAvailable() && available == 0;
+			roles.merge(name, asLeader, Boolean::logicalOr);
+			if (peer.isAvailable() || peer.mayStillReply(nowMs)) {
+				available++;
 			}
 		}
 	}
 
-	private PeerLiveness link(String name) {
-		return this.links.computeIfAbsent(name, (key) -> new PeerLiveness());
+	private PeerLiveness peer(String name) {
+		return this.peers.computeIfAbsent(name, (key) -> new PeerLiveness());
 	}
 
 	/**
-	 * Take a VM's answer.
-	 * @param name the VM
-	 * @param incarnation its incarnation
-	 * @param drains whether it is about to stop
-	 * @param nowMs the steady clock
-	 * @return what the answer changes
+	 * Record a heartbeat reply of a VM. Replies of VMs without a record are ignored.
+	 * @param name the name of the VM
+	 * @param incarnation the incarnation of the VM
+	 * @param peerDraining whether the VM is draining
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the change of the VM's state
 	 */
-	public Change onAnswer(String name, long incarnation, boolean drains, long nowMs) {
-		if (!this.ranks.vms().contains(name)) {
+	public Change onAnswer(String name, long incarnation, boolean peerDraining, long nowMs) {
+		if (!this.ranking.vms().contains(name)) {
 			return Change.NONE;
 		}
-		PeerLiveness link = link(name);
-		boolean before = link.live();
-		boolean restarted = link.onAnswer(incarnation, drains, nowMs);
+		PeerLiveness peer = peer(name);
+		boolean wasLive = peer.isLive();
+		boolean restarted = peer.onReply(incarnation, peerDraining, nowMs);
 		if (restarted) {
 			return Change.RESTARTED;
 		}
-		return before ? Change.NONE : Change.FOUND;
+		return wasLive ? Change.NONE : Change.FOUND;
 	}
 
 	/**
-	 * Take note that a VM has told that it is about to stop.
-	 * @param name the VM
+	 * Record that a VM is draining.
+	 * @param name the name of the VM
 	 */
 	public void onDraining(String name) {
-		if (this.ranks.vms().contains(name)) {
-			link(name).onDraining();
+		if (this.ranking.vms().contains(name)) {
+			peer(name).onDraining();
 		}
 	}
 
 	/**
-	 * Find the VMs that have not answered for too long; they count as lost from now on.
-	 * @param nowMs the steady clock
-	 * @return their names
+	 * Mark the VMs whose replies have timed out as failed.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the names of the VMs that have failed since the last call
 	 */
 	public List<String> detectFailures(long nowMs) {
-		List<String> silent = new ArrayList<>();
-		this.links.forEach((name, link) -> {
-			if (link.silent(nowMs)) {
-				link.lose();
-				silent.add(name);
+		List<String> failed = new ArrayList<>();
+		this.peers.forEach((name, peer) -> {
+			if (peer.hasTimedOut(nowMs)) {
+				peer.markFailed();
+				failed.add(name);
 			}
 		});
-		return silent;
+		return failed;
 	}
 
 	/**
-	 * Take note that the connection to a VM was closed. The VM may live: it is asked
-	 * again at once.
-	 * @param name the VM
-	 * @return whether it counted as live until now
+	 * Record that the connection to a VM was closed. The VM counts as failed until it
+	 * replies to a heartbeat request, which is due at once.
+	 * @param name the name of the VM
+	 * @return true if the VM was live until now
 	 */
 	public boolean onConnectionClosed(String name) {
-		PeerLiveness link = this.links.get(name);
-		if (link == null || !link.live()) {
+		PeerLiveness peer = this.peers.get(name);
+		if (peer == null || !peer.isLive()) {
 			return false;
 		}
-		link.lose();
-		link.askSoon();
+		peer.markFailed();
+		peer.resetHeartbeat();
 		return true;
 	}
 
-	/** Take note that this VM is about to stop: it holds nothing from now on. */
+	/** Record that this VM is draining; it leads no role from now on. */
 	public void drain() {
 		this.draining = true;
 	}
 
 	/**
-	 * Return whether this VM is about to stop.
-	 * @return true if it is
+	 * Return whether this VM is draining.
+	 * @return true if it is draining
 	 */
 	public boolean isDraining() {
 		return this.draining;
 	}
 
 	/**
-	 * Return the VMs that come first for reading the store and for passing on what it
-	 * says, by rank alone: whoever does so at present is mostly among them.
-	 * @param count how many for each of these duties
-	 * @return their names, without this VM's
+	 * Return the VMs that rank first as store reader and as relay of each failure domain,
+	 * whether they are available or not. They usually include the current leaders.
+	 * @param count the number of VMs for each role
+	 * @return the names of the VMs, without this one
 	 */
 	public Set<String> preferredSources(int count) {
-		Set<String> first = new LinkedHashSet<>();
-		this.ranks.of(LeaderRole.STORE_READER).stream().limit(count).forEach(first::add);
-		for (String domain : this.ranks.failureDomains()) {
-			this.ranks.of(LeaderRole.domainRelay(domain)).stream().limit(count).forEach(first::add);
+		Set<String> sources = new LinkedHashSet<>();
+		this.ranking.rankOf(LeaderRole.STORE_READER).stream().limit(count).forEach(sources::add);
+		for (String domain : this.ranking.failureDomains()) {
+			this.ranking.rankOf(LeaderRole.domainRelay(domain)).stream().limit(count).forEach(sources::add);
 		}
-		first.remove(this.vm);
-		return first;
+		sources.remove(this.vm);
+		return sources;
 	}
 
 	/**
-	 * Return what is known of a VM.
-	 * @param name the VM
-	 * @return its record
+	 * Return the record of a VM.
+	 * @param name the name of the VM
+	 * @return the record; empty if the VM is not known
 	 */
 	public Optional<VmRecord> record(String name) {
-		return this.ranks.record(name);
+		return this.ranking.record(name);
 	}
 
 	/**
-	 * Return the VMs that are known, whether they live or not.
-	 * @return their names
+	 * Return all VMs with a record, whether they are live or not.
+	 * @return the names of the VMs
 	 */
 	public Set<String> vms() {
-		return this.ranks.vms();
+		return this.ranking.vms();
 	}
 
 	/**
-	 * Return how many VMs are known, whether they live or not.
-	 * @return the count; 0 while no record was read
+	 * Return the number of VMs with a record, whether they are live or not.
+	 * @return the count; 0 before the records are loaded
 	 */
 	public int recordCount() {
-		return this.ranks.vms().size();
+		return this.ranking.vms().size();
 	}
 
 	/**
-	 * Return how many of the VMs that this one asks are live.
+	 * Return the number of live VMs that receive heartbeat requests from this one.
 	 * @return the count, without this VM
 	 */
 	public int liveCount() {
-		return (int) this.links.values().stream().filter(PeerLiveness::live).count();
+		return (int) this.peers.values().stream().filter(PeerLiveness::isLive).count();
 	}
 
-	/** What an answer changes. */
+	/** The change of a VM's state by a heartbeat reply. */
 	public enum Change {
 
-		/** Nothing. */
+		/** No change. */
 		NONE,
 		/** The VM was not live before. */
 		FOUND,
-		/** The VM has started anew, and forgotten what it was asked. */
+		/** The VM has restarted and lost the state of earlier requests. */
 		RESTARTED
 
 	}
--- a/core/src/main/java/org/tallycart/core/fleet/LeaderView.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderView.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /**
- * Who holds each duty, as one VM sees it.
+ * The leader of each role, as one VM sees it.
  * <p>
  * Not thread-safe: belongs to one event loop.
  *
@@ -12,40 +12,39 @@
 public interface LeaderView {
 
 	/**
-	 * Return the VM that holds a duty.
-	 * @param duty the duty
-	 * @return the VM's name; this VM's if it knows no other that works
+	 * Return the leader of a role.
+	 * @param role the role
+	 * @return the name of the leading VM; this VM's name if no other one is available
 	 */
-	String leader(LeaderRole duty);
+	String leader(LeaderRole role);
 
 	/**
-	 * Return how many VMs come before this one for a duty. Those that were not asked
-	 * whether they live, or may answer yet, are counted; those that did not answer are
-	 * not.
-	 * @param duty the duty
-	 * @param nowMs the steady clock
-	 * @return the count; 0 if this VM holds the duty, or knows of no VM
+	 * Return how many VMs rank before this one for a role. VMs that have not been sent a
+	 * heartbeat request, or may still reply to their first one, are included;
+	 * unresponsive VMs are not.
+	 * @param role the role
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the count; 0 if this VM is the leader, or no VM is known
 	 */
-	int countAhead(LeaderRole duty, long nowMs);
+	int countAhead(LeaderRole role, long nowMs);
 
 	/**
-	 * Return the VMs that come before this one for a duty and do not answer, though they
-	 * did, or were asked first, within the last minute: they may live, and hold the duty
-	 * for others that this VM does not reach. Those that told that they leave are not
-	 * among them.
-	 * @param duty the duty
-	 * @param nowMs the steady clock
-	 * @return their names
+	 * Return the unresponsive VMs that rank before this one for a role and that replied,
+	 * or were sent their first heartbeat request, within the last minute. They may be
+	 * live and lead other VMs that this VM does not reach. Draining VMs are not included.
+	 * @param role the role
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the names of the VMs
 	 */
-	Set<String> unresponsiveAhead(LeaderRole duty, long nowMs);
+	Set<String> unresponsiveAhead(LeaderRole role, long nowMs);
 
 	/**
-	 * Return whether it is known who holds a duty.
-	 * @param duty the duty
-	 * @param nowMs the steady clock
-	 * @return false while a VM that would come before the holder may answer its first
-	 * question yet
+	 * Return whether the leader of a role is known.
+	 * @param role the role
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return false while a VM that ranks before the leader may still reply to its first
+	 * heartbeat request
 	 */
-	boolean isLeaderKnown(LeaderRole duty, long nowMs);
+	boolean isLeaderKnown(LeaderRole role, long nowMs);
 
 }
--- a/core/src/main/java/org/tallycart/core/fleet/PeerLiveness.java
+++ b/core/src/main/java/org/tallycart/core/fleet/PeerLiveness.java
@@ -1,32 +1,31 @@
 package org.tallycart.core.fleet;
 
 /**
- * What a VM knows of its path to another one.
+ * Failure detection for another VM by heartbeats.
  * <p>
  * Not thread-safe: guarded by {@link LeaderTable}.
  */
 final class PeerLiveness {
 
-	/** Time between two questions to the holder of a duty, in milliseconds. */
-	static final long HOLDER_PERIOD_MS = 200;
+	/** Heartbeat period for the leader of a role, in milliseconds. */
+	static final long LEADER_HEARTBEAT_MS = 200;
 
 	/**
-	 * A holder that does not answer for this long is lost, in milliseconds: four
-	 * questions.
+	 * Time without a reply after which a leader has failed, in milliseconds.
 	 */
-	static final long HOLDER_SILENCE_MS = 800;
+	static final long LEADER_TIMEOUT_MS = 800;
 
-	/** Time between two questions to the next in rank, in milliseconds. */
-	static final long SPARE_PERIOD_MS = 1_000;
+	/** Heartbeat period for a standby, in milliseconds. */
+	static final long STANDBY_HEARTBEAT_MS = 1_000;
 
-	/** A spare that does not answer for this long is lost, in milliseconds. */
-	static final long SPARE_SILENCE_MS = 2_500;
+	/** Time without a reply after which a standby has failed, in milliseconds. */
+	static final long STANDBY_TIMEOUT_MS = 2_500;
 
-	/** Time between two tries to reach a VM that is lost, in milliseconds. */
-	static final long RETRY_MS = 2_000;
+	/** Heartbeat period for a failed VM, in milliseconds. */
+	static final long FAILED_RETRY_MS = 2_000;
 
-	/** How long the first answer of a VM is waited for, in milliseconds. */
-	static final long FIRST_ANSWER_MS = 800;
+	/** Maximum wait for the first reply of a VM, in milliseconds. */
+	static final long FIRST_REPLY_TIMEOUT_MS = 800;
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -36,78 +35,78 @@
 
 	private boolean draining;
 
-	private boolean holder;
+	private boolean leader;
 
-	private long firstAskedMs = NEVER;
+	private long firstRequestMs = NEVER;
 
-	private long askedMs = NEVER;
+	private long lastRequestMs = NEVER;
 
-	private long rankedMs = NEVER;
+	private long lastRoleMs = NEVER;
 
-	private long lostAtMs;
+	private long failureDeadlineMs;
 
-	private long answeredMs = NEVER;
+	private long lastReplyMs = NEVER;
 
-	boolean live() {
+	boolean isLive() {
 		return this.live;
 	}
 
-	// Whether the VM can take work.
-	boolean working() {
+	// A draining VM is live, but takes no new work.
+	boolean isAvailable() {
 		return this.live && !this.draining;
 	}
 
-	// Whether it was asked for the first time so lately that its answer may be on the
-	// way.
-	boolean mayAnswerYet(long nowMs) {
-		return !this.live && (this.firstAskedMs == NEVER || nowMs - this.firstAskedMs < FIRST_ANSWER_MS);
+	// Returns true before the first request and while its reply may be on the way.
+	boolean mayStillReply(long nowMs) {
+		return !this.live && (this.firstRequestMs == NEVER || nowMs - this.firstRequestMs < FIRST_REPLY_TIMEOUT_MS);
 	}
 
-	// Takes note that it holds a duty, or is next in rank.
+	// Records that the VM is the leader or a standby of a role.
 	void onRole(long nowMs) {
-		this.rankedMs = nowMs;
+		this.lastRoleMs = nowMs;
 	}
 
-	boolean wantedSince(long ms) {
-		return this.rankedMs >= ms;
+	boolean hadRoleSince(long ms) {
+		return this.lastRoleMs >= ms;
 	}
 
-	// Takes a role, and tells whether a question is due.
-	boolean ask(boolean asHolder, long nowMs) {
-		if (asHolder && !this.holder) {
-			this.lostAtMs = Math.min(this.lostAtMs, nowMs + HOLDER_SILENCE_MS);
-			this.askedMs = NEVER;
+	// Sets the VM's role, and returns true if a heartbeat request is due.
+	boolean startHeartbeatIfDue(boolean asLeader, long nowMs) {
+		if (asLeader && !this.leader) {
+			this.failureDeadlineMs = Math.min(this.failureDeadlineMs, nowMs + LEADER_TIMEOUT_MS);
+			this.lastRequestMs = NEVER;
 		}
-		if (!asHolder && this.holder) {
-			this.lostAtMs = Math.max(this.lostAtMs, nowMs + SPARE_SILENCE_MS);
+		if (!asLeader && this.leader) {
+			this.failureDeadlineMs = Math.max(this.failureDeadlineMs, nowMs + STANDBY_TIMEOUT_MS);
 		}
-		this.holder = asHolder;
-		if (nowMs - this.askedMs < periodMs(nowMs)) {
+		this.leader = asLeader;
+		if (nowMs - this.lastRequestMs < heartbeatPeriodMs(nowMs)) {
 			return false;
 		}
-		this.askedMs = nowMs;
-		if (this.firstAskedMs == NEVER) {
-			this.firstAskedMs = nowMs;
+		this.lastRequestMs = nowMs;
+		if (this.firstRequestMs == NEVER) {
+			this.firstRequestMs = nowMs;
 		}
 		return true;
 	}
 
-	// A VM that starts beside this one may not listen yet when it is first asked.
-	private long periodMs(long nowMs) {
+	// A VM that starts at the same time may not listen yet at its first request, so the
+	// first requests are repeated at the shorter period.
+	private long heartbeatPeriodMs(long nowMs) {
 		if (!this.live) {
-			return mayAnswerYet(nowMs) ? HOLDER_PERIOD_MS : RETRY_MS;
+			return mayStillReply(nowMs) ? LEADER_HEARTBEAT_MS : FAILED_RETRY_MS;
 		}
-		return this.holder ? HOLDER_PERIOD_MS : SPARE_PERIOD_MS;
+		return this.leader ? LEADER_HEARTBEAT_MS : STANDBY_HEARTBEAT_MS;
 	}
 
-	// Takes an answer, and tells whether it comes from a new incarnation.
-	boolean onAnswer(long fresh, boolean drains, long nowMs) {
-		boolean restarted = this.live && this.incarnation != fresh;
-		this.incarnation = fresh;
-		this.draining = drains;
+	// Records a reply, and returns true if it comes from a new incarnation.
+	boolean onReply(long newIncarnation, boolean isDraining, long nowMs) {
+		boolean restarted = this.live && this.incarnation != newIncarnation;
+		this.incarnation = newIncarnation;
+		this.draining = isDraining;
 		this.live = true;
-		this.answeredMs = nowMs;
-		this.lostAtMs = nowMs + (this.holder ? HOLDER_SILENCE_MS : SPARE_SILENCE_MS);
+		this.lastReplyMs = nowMs;
+		this.failureDeadlineMs = nowMs + (this.leader ? LEADER_TIMEOUT_MS : STANDBY_TIMEOUT_MS);
 		return restarted;
 	}
 
@@ -115,28 +114,28 @@
 		this.draining = true;
 	}
 
-	// Whether it does not answer, without having told that it leaves, though it did, or
-	// was asked first, since then.
-	boolean silentSince(long ms) {
-		return !this.live && !this.draining && Math.max(this.answeredMs, this.firstAskedMs) >= ms;
+	// Returns true for a failed VM that is not draining and that replied, or was sent its
+	// first request, after the given time.
+	boolean isUnresponsiveSince(long ms) {
+		return !this.live && !this.draining && Math.max(this.lastReplyMs, this.firstRequestMs) >= ms;
 	}
 
-	boolean silent(long nowMs) {
-		return this.live && nowMs >= this.lostAtMs;
+	boolean hasTimedOut(long nowMs) {
+		return this.live && nowMs >= this.failureDeadlineMs;
 	}
 
-	void lose() {
+	void markFailed() {
 		this.live = false;
 	}
 
-	// A question is due at once, as the connection has to be made anew.
-	void askSoon() {
-		this.askedMs = NEVER;
+	// Makes a request due at once, to reconnect.
+	void resetHeartbeat() {
+		this.lastRequestMs = NEVER;
 	}
 
-	// Time in which this VM itself stood still says nothing about the other one.
-	void forgive(long ms) {
-		this.lostAtMs += ms;
+	// A pause of this VM is no evidence of a failure of the other one.
+	void extendDeadline(long ms) {
+		this.failureDeadlineMs += ms;
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/fleet/PeerReachability.java
+++ b/core/src/main/java/org/tallycart/core/fleet/PeerReachability.java
@@ -6,8 +6,9 @@
 import java.util.Set;
 
 /**
- * The other VMs that this one hears. A VM that holds a duty is asked by all VMs that it
- * matters to, so it can tell whether it has lost many of them at once.
+ * Tracks which other VMs reach this one. The leader of a role receives heartbeat requests
+ * from all VMs that use the role, so it detects when it loses contact with many of them
+ * at once.
  * <p>
  * Not thread-safe: belongs to one event loop.
  *
@@ -16,87 +17,86 @@
 public final class PeerReachability {
 
 	/**
-	 * A VM that was heard within this time is near, in milliseconds: whoever holds a duty
-	 * is asked five times a second.
+	 * Time since its last message in which a VM counts as reachable, in milliseconds;
+	 * several heartbeat periods of a leader.
 	 */
-	static final long NEAR_MS = 1_200;
+	static final long REACHABLE_WINDOW_MS = 1_200;
 
 	/**
-	 * A VM that was not heard for this long is taken to have ended, in milliseconds:
-	 * longer than cuts between VMs were seen to last.
+	 * Time since its last message after which a VM is presumed stopped, in milliseconds;
+	 * longer than a usual network partition.
 	 */
-	static final long LATELY_MS = 60_000;
+	static final long PEER_RETENTION_MS = 60_000;
 
-	/** What each VM grants of what the one before it may. */
-	private static final double NEXT_SHARE = 1.0 / 3;
+	/** Factor on the share of a VM for each VM that may grant before it. */
+	private static final double BACKUP_SHARE_FACTOR = 1.0 / 3;
 
-	private final Map<String, Long> heardMs = new HashMap<>();
+	private final Map<String, Long> lastMessageMs = new HashMap<>();
 
 	private final long startedMs;
 
-	private long lostMs;
+	private long lastFailureMs;
 
 	/**
-	 * Create an empty memory.
-	 * @param nowMs the steady clock, when this VM starts
+	 * Create a tracker that has received no messages.
+	 * @param nowMs the monotonic time of this VM's start, in milliseconds
 	 */
 	public PeerReachability(long nowMs) {
 		this.startedMs = nowMs;
-		this.lostMs = nowMs;
+		this.lastFailureMs = nowMs;
 	}
 
 	/**
-	 * Take note of a message of another VM. To be called for each.
-	 * @param vm the VM
-	 * @param nowMs the steady clock
+	 * Record a message from another VM. Must be called for each message.
+	 * @param vm the sender
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void onMessage(String vm, long nowMs) {
-		this.heardMs.put(vm, nowMs);
+		this.lastMessageMs.put(vm, nowMs);
 	}
 
 	/**
-	 * Take note that another VM has told that it leaves.
+	 * Record that another VM is draining.
 	 * @param vm the VM
 	 */
 	public void onDraining(String vm) {
-		this.heardMs.remove(vm);
+		this.lastMessageMs.remove(vm);
 	}
 
 	/**
-	 * Take note that a VM does not answer any more. What was heard before says nothing of
-	 * which others this VM reaches since.
-	 * @param nowMs the steady clock
+	 * Record the failure of another VM. Earlier messages no longer count as evidence that
+	 * their senders are reachable.
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void onPeerLost(long nowMs) {
-		this.lostMs = nowMs;
+		this.lastFailureMs = nowMs;
 	}
 
 	/**
-	 * Return this VM's part in a rate that all VMs share, where it holds the duty to
-	 * grant it. Behind a cut there may be others that hold it too. Each grants a third of
-	 * what the one before it may; and a third of that if it does not hear most of the VMs
-	 * that may live. In all that is less than half as much again as the rate, whoever
-	 * hears whom: only the first in rank, which has none before it, grants all.
-	 * @param silentAhead the VMs before this one that may hold the duty elsewhere
-	 * @param recorded all VMs that are known to exist or to have existed; one that has
-	 * just started cannot know better which of them live
-	 * @param nowMs the steady clock
-	 * @return a share of the rate, 1 at most
+	 * Return the share of a common rate that this VM may grant as the leader. During a
+	 * network partition there may be several leaders. Each grants a third of the share of
+	 * the one that ranks before it, and a third of that if it does not reach a majority
+	 * of the VMs that may be live. All shares together stay below 1.5 in any partition.
+	 * @param unresponsiveAhead the VMs that rank before this one and may lead other VMs
+	 * @param recordedVms all VMs with a record; a VM that has just started counts them as
+	 * possibly live
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the share of the rate, at most 1
 	 */
-	public double shareOfRate(Set<String> silentAhead, Set<String> recorded, long nowMs) {
-		this.heardMs.values().removeIf((at) -> nowMs - at > LATELY_MS);
-		long nearFromMs = Math.max(nowMs - NEAR_MS, this.lostMs);
-		long near = this.heardMs.values().stream().filter((at) -> at >= nearFromMs).count() + 1;
-		boolean most = 2 * near > mayLive(silentAhead, recorded, nowMs);
-		return Math.pow(NEXT_SHARE, silentAhead.size() + (most ? 0 : 1));
+	public double shareOfRate(Set<String> unresponsiveAhead, Set<String> recordedVms, long nowMs) {
+		this.lastMessageMs.values().removeIf((at) -> nowMs - at > PEER_RETENTION_MS);
+		long reachableFromMs = Math.max(nowMs - REACHABLE_WINDOW_MS, this.lastFailureMs);
+		long reachable = this.lastMessageMs.values().stream().filter((at) -> at >= reachableFromMs).count() + 1;
+		boolean reachesMajority = 2 * reachable > countPossiblyLive(unresponsiveAhead, recordedVms, nowMs);
+		return Math.pow(BACKUP_SHARE_FACTOR, unresponsiveAhead.size() + (reachesMajority ? 0 : 1));
 	}
 
-	// How many VMs may live, this one among them.
-	private int mayLive(Set<String> silentAhead, Set<String> recorded, long nowMs) {
-		Set<String> others = new HashSet<>(this.heardMs.keySet());
-		others.addAll(silentAhead);
-		if (nowMs - this.startedMs < LATELY_MS) {
-			others.addAll(recorded);
+	// Includes this VM.
+	private int countPossiblyLive(Set<String> unresponsiveAhead, Set<String> recordedVms, long nowMs) {
+		Set<String> others = new HashSet<>(this.lastMessageMs.keySet());
+		others.addAll(unresponsiveAhead);
+		if (nowMs - this.startedMs < PEER_RETENTION_MS) {
+			others.addAll(recordedVms);
 			return Math.max(others.size(), 1);
 		}
 		return others.size() + 1;
--- a/core/src/main/java/org/tallycart/core/fleet/SourceFreshness.java
+++ b/core/src/main/java/org/tallycart/core/fleet/SourceFreshness.java
@@ -1,7 +1,7 @@
 package org.tallycart.core.fleet;
 
 /**
- * How fresh what another VM passes on is, by its own answers.
+ * Freshness of the store contents that another VM relays, by its heartbeat replies.
  * <p>
  * Not thread-safe: guarded by {@link StoreSourceChooser}.
  */
@@ -9,35 +9,35 @@
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
-	private long answeredMs = NEVER;
+	private long lastReplyMs = NEVER;
 
-	private long toldAgeMs;
+	private long reportedAgeMs;
 
-	private boolean passesOn;
+	private boolean canRelay;
 
-	private long fitSinceMs = NEVER;
+	private long freshSinceMs = NEVER;
 
-	void onAnswer(boolean nowPassesOn, long storeAgeMs, long mostAgeMs, long nowMs) {
-		boolean before = fit(mostAgeMs, nowMs);
-		this.answeredMs = nowMs;
-		this.toldAgeMs = storeAgeMs;
-		this.passesOn = nowPassesOn;
-		if (!before) {
-			this.fitSinceMs = nowMs;
+	void onReply(boolean newCanRelay, long storeAgeMs, long maxAgeMs, long nowMs) {
+		boolean wasFresh = isFresh(maxAgeMs, nowMs);
+		this.lastReplyMs = nowMs;
+		this.reportedAgeMs = storeAgeMs;
+		this.canRelay = newCanRelay;
+		if (!wasFresh) {
+			this.freshSinceMs = nowMs;
 		}
 	}
 
-	// How long ago the store answered whoever asked it, in milliseconds.
+	// Time since the store was last read by the origin of the contents, in milliseconds.
 	long ageMs(long nowMs) {
-		return this.passesOn ? this.toldAgeMs + (nowMs - this.answeredMs) : Long.MAX_VALUE;
+		return this.canRelay ? this.reportedAgeMs + (nowMs - this.lastReplyMs) : Long.MAX_VALUE;
 	}
 
-	boolean fit(long mostAgeMs, long nowMs) {
-		return ageMs(nowMs) <= mostAgeMs;
+	boolean isFresh(long maxAgeMs, long nowMs) {
+		return ageMs(nowMs) <= maxAgeMs;
 	}
 
-	long fitForMs(long mostAgeMs, long nowMs) {
-		return fit(mostAgeMs, nowMs) ? nowMs - this.fitSinceMs : 0;
+	long freshForMs(long maxAgeMs, long nowMs) {
+		return isFresh(maxAgeMs, nowMs) ? nowMs - this.freshSinceMs : 0;
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/fleet/StoreSourceChooser.java
+++ b/core/src/main/java/org/tallycart/core/fleet/StoreSourceChooser.java
@@ -6,360 +6,365 @@
 import java.util.Map;
 
 /**
- * Decides from whom a VM learns what the platform's store says, since each call of the
- * store has a price and a rate that grows more slowly than the fleet.
+ * Chooses the source from which a VM receives the contents of the platform's store. Calls
+ * of the store are billed, and its rate limit does not scale with the fleet, so few VMs
+ * read it directly.
  * <p>
- * One VM of all reads the store. One VM of each failure domain is told by it and passes
- * on what it hears to the others of its failure domain. Who cannot be told by the VM that
- * should, reads the store itself, so a change is in force within two seconds although the
- * path to the reader, or the reader's to the store, was cut without a notice. Before it
- * does, it asks by the cheapest call whether the store answers: where the store is away
- * for all, nobody reads it in vain. Six seconds without the store cost 95 VMs at most 210
- * calls, and 1,250 where each begins to read.
+ * One VM of all reads the store. One VM of each failure domain subscribes to the reader
+ * and relays the contents to the other VMs of its failure domain. A VM whose source is
+ * stale reads the store itself, so a change is active within two seconds even if the path
+ * to the reader, or from the reader to the store, fails without notice. Before it reads,
+ * it probes the store by the cheapest call, which limits the calls during an outage.
  * <p>
- * At a start, only the first of a failure domain goes to the store at once; the others
- * wait for it, the longer the lower they rank. {@code SourceChooserTests} counts at most
- * 430 calls for a start of 95 VMs in 6 failure domains, where each VM by itself makes 7
- * and more, and at most 150 in a calm minute after it, whatever the number of VMs, where
- * a reader in each failure domain makes 100.
+ * When all VMs start, only the first in rank of each failure domain reads the store at
+ * once; the delay of the others grows with their rank. In the steady state the number of
+ * calls does not depend on the number of VMs.
  * <p>
- * Invariant: VMs that follow each other in a circle see the age of what they hear rise,
- * and read the store themselves when it passes its limit. Not thread-safe: belongs to one
- * event loop.
+ * Invariant: in a cycle of VMs that subscribe to each other, the age of the contents
+ * grows until it exceeds its limit and they read the store themselves. Not thread-safe:
+ * belongs to one event loop.
  *
  * @since 0.1
  */
 public final class StoreSourceChooser {
 
 	/**
-	 * What the reader tells may be this old, in milliseconds. It asks the store every 400
-	 * ms, and a slow store takes as long again.
+	 * Maximum age of the reader's contents, in milliseconds; covers the reader's period
+	 * and a slow reply of the store.
 	 */
-	private static final long MOST_READER_AGE_MS = 1_100;
+	private static final long MAX_READER_AGE_MS = 1_100;
 
 	/**
-	 * The same of what a VM passes on that is told by the reader itself: it is asked five
-	 * times a second.
+	 * Maximum age of a relay's contents, in milliseconds; adds a heartbeat period to the
+	 * reader's.
 	 */
-	private static final long MOST_RELAY_AGE_MS = 1_300;
+	private static final long MAX_RELAY_AGE_MS = 1_300;
 
 	/**
-	 * How long a VM that nobody looks to waits before it reads the store in place of its
-	 * source, in milliseconds: the next in rank is asked and has answered by then. With
-	 * the ages above, a change is still read within two seconds.
+	 * Delay before a VM that is neither reader nor relay reads the store in place of a
+	 * stale source, in milliseconds. The standby can reply within this time, and a change
+	 * is still read within two seconds.
 	 */
-	private static final long GRACE_MS = 300;
+	private static final long FALLBACK_DELAY_MS = 300;
 
 	/**
-	 * Time between two questions whether the store answers, in milliseconds, of a VM that
-	 * would read it: that it is back is known in time for its changes.
+	 * Period of the store probes of a VM without a fresh source, in milliseconds; short
+	 * enough to read changes in time after an outage.
 	 */
-	private static final long ASK_MS = 400;
+	private static final long PROBE_PERIOD_MS = 400;
 
 	/**
-	 * How long a VM that was not answered for a while waits for its source once it is, in
-	 * milliseconds: the reader finds the store again within its own period, and what it
-	 * reads is passed on twice. The platform gives four seconds to be in touch again.
+	 * Delay after an outage in which a VM still waits for its source, in milliseconds:
+	 * the reader resumes within its own period, and its contents are relayed in two
+	 * steps.
 	 */
-	private static final long AFTER_OUTAGE_MS = 1_500;
+	private static final long RECOVERY_DELAY_MS = 1_500;
 
 	/**
-	 * How long another VM has to be fit before a VM that reads the store follows it, in
-	 * milliseconds: the store's changes have reached it by then.
+	 * Time for which a source has to be fresh before a VM that reads the store subscribes
+	 * to it, in milliseconds; the store's changes have reached the source by then.
 	 */
 	private static final long SETTLE_MS = 1_500;
 
 	/**
-	 * When a VM reads the store although it could not write its record or read those of
-	 * others, in milliseconds after its start.
+	 * Delay from the start of a VM until it reads the store without having written its
+	 * record or loaded the records of others, in milliseconds.
 	 */
-	private static final long UNKNOWN_START_MS = 1_000;
+	private static final long UNRANKED_START_DELAY_MS = 1_000;
 
-	/** How long the second of a failure domain waits for the first, in milliseconds. */
-	private static final long SECOND_START_MS = 300;
+	/** Start delay of the second VM in rank, in milliseconds. */
+	private static final long SECOND_START_DELAY_MS = 300;
 
 	/**
-	 * The same for all others: the first has read the store and answered within half a
-	 * second on a VM of a third of a core.
+	 * Base start delay of all later VMs in rank, in milliseconds; a small VM has read the
+	 * store and replied by then.
 	 */
-	private static final long LATER_START_MS = 1_200;
+	private static final long LATER_START_DELAY_MS = 1_200;
 
-	/** What each VM before one adds to its wait at a start, in milliseconds. */
-	private static final long LATER_STEP_MS = 20;
+	/** Additional start delay for each VM ahead in rank, in milliseconds. */
+	private static final long START_DELAY_STEP_MS = 20;
 
-	/** The longest such wait, in milliseconds: callers come to a VM that waits, too. */
-	private static final long LATEST_START_MS = 2_000;
+	/**
+	 * Maximum start delay, in milliseconds, since callers already connect to a waiting
+	 * VM.
+	 */
+	private static final long MAX_START_DELAY_MS = 2_000;
 
 	/**
-	 * VMs that keep in touch with the reader for each failure domain: one, and a spare.
+	 * Number of VMs of each failure domain that watch the reader: the relay and a
+	 * standby.
 	 */
-	private static final int RELAYS = 2;
+	private static final int RELAY_CANDIDATES = 2;
 
-	/** VMs that look whether they are the reader. */
-	private static final int READERS = 3;
+	/** Number of VMs in rank that watch the reader role. */
+	private static final int READER_CANDIDATES = 3;
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
 	private final String vm;
 
-	private final LeaderRole relay;
+	private final LeaderRole relayRole;
 
-	private final Map<String, SourceFreshness> sources = new HashMap<>();
+	private final Map<String, SourceFreshness> freshness = new HashMap<>();
 
 	private String source = "";
 
 	private long startedMs;
 
-	private long recordedMs = NEVER;
+	private long recordWrittenMs = NEVER;
 
-	private long contactMs = NEVER;
+	private long storeReadMs = NEVER;
 
-	private long unfitSinceMs = NEVER;
+	private long staleSinceMs = NEVER;
 
-	private long askedMs = NEVER;
+	private long lastProbeMs = NEVER;
 
-	private long answeredMs = NEVER;
+	private long probeSuccessMs = NEVER;
 
-	private boolean unanswered;
+	private boolean probeFailed;
 
-	private boolean followed;
+	private boolean hasSubscribers;
 
 	/**
 	 * Create a chooser.
-	 * @param vm this VM
-	 * @param failureDomain where it is
+	 * @param vm the name of this VM
+	 * @param failureDomain the failure domain of this VM
 	 */
 	public StoreSourceChooser(String vm, String failureDomain) {
 		this.vm = vm;
-		this.relay = LeaderRole.domainRelay(failureDomain);
+		this.relayRole = LeaderRole.domainRelay(failureDomain);
 	}
 
 	/**
-	 * Take note that this VM starts.
-	 * @param nowMs the steady clock
+	 * Record the start of this VM.
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void start(long nowMs) {
 		this.startedMs = nowMs;
 	}
 
 	/**
-	 * Take note that this VM's record is written.
-	 * @param nowMs the steady clock
+	 * Record that this VM's record is written to the store.
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void onRecordWritten(long nowMs) {
-		this.recordedMs = nowMs;
+		this.recordWrittenMs = nowMs;
 	}
 
 	/**
-	 * Take note that the store has answered this VM.
-	 * @param askedMs when it was asked, on the steady clock
+	 * Record a successful read of the store.
+	 * @param requestedAtMs the monotonic time of the request, in milliseconds
 	 */
-	public void onStoreRead(long askedMs) {
-		this.contactMs = Math.max(this.contactMs, askedMs);
+	public void onStoreRead(long requestedAtMs) {
+		this.storeReadMs = Math.max(this.storeReadMs, requestedAtMs);
 	}
 
 	/**
-	 * Take note that the store has answered this VM's question, see {@link Action#PROBE}.
-	 * @param sentMs when it was asked, on the steady clock
+	 * Record a successful probe of the store, see {@link Action#PROBE}.
+	 * @param sentMs the monotonic time of the probe, in milliseconds
 	 */
 	public void onProbeSuccess(long sentMs) {
-		this.answeredMs = Math.max(this.answeredMs, sentMs);
+		this.probeSuccessMs = Math.max(this.probeSuccessMs, sentMs);
 	}
 
-	/** Take note that the store has not answered this VM's question. */
+	/** Record a failed probe of the store. */
 	public void onProbeFailure() {
-		this.unanswered = true;
+		this.probeFailed = true;
 	}
 
 	/**
-	 * Take what a VM says of itself.
-	 * @param name the VM
-	 * @param passesOn whether it knows what the store says
-	 * @param storeAgeMs how long ago the store said so, in milliseconds
-	 * @param nowMs the steady clock
+	 * Record the state of a possible source, from its heartbeat reply.
+	 * @param name the name of the VM
+	 * @param canRelay whether the VM holds the store's contents
+	 * @param storeAgeMs the age of these contents, in milliseconds
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
-	public void onAnswer(String name, boolean passesOn, long storeAgeMs, long nowMs) {
-		health(name).onAnswer(passesOn, storeAgeMs, MOST_READER_AGE_MS, nowMs);
+	public void onAnswer(String name, boolean canRelay, long storeAgeMs, long nowMs) {
+		freshness(name).onReply(canRelay, storeAgeMs, MAX_READER_AGE_MS, nowMs);
 	}
 
-	private SourceFreshness health(String name) {
-		return this.sources.computeIfAbsent(name, (key) -> new SourceFreshness());
+	private SourceFreshness freshness(String name) {
+		return this.freshness.computeIfAbsent(name, (key) -> new SourceFreshness());
 	}
 
 	/**
-	 * Take note whether other VMs look to this one.
-	 * @param nowFollowed whether any does
+	 * Set whether other VMs subscribe to this one.
+	 * @param subscribed whether any VM subscribes to this one
 	 */
-	public void setHasSubscribers(boolean nowFollowed) {
-		this.followed = nowFollowed;
+	public void setHasSubscribers(boolean subscribed) {
+		this.hasSubscribers = subscribed;
 	}
 
 	/**
-	 * Return the duties whose holders matter to this VM.
-	 * @param view who holds them
-	 * @param nowMs the steady clock
-	 * @return one duty for most VMs; two for those that pass on or may have to read
+	 * Return the roles whose leaders this VM has to watch.
+	 * @param view the leaders of the roles
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return one role for most VMs; two for VMs that relay, or may have to read the
+	 * store
 	 */
 	public List<LeaderRole> watchedRoles(LeaderView view, long nowMs) {
-		List<LeaderRole> duties = new ArrayList<>(List.of(this.relay));
-		if (this.followed || view.countAhead(this.relay, nowMs) < RELAYS
-				|| view.countAhead(LeaderRole.STORE_READER, nowMs) < READERS) {
-			duties.add(LeaderRole.STORE_READER);
+		List<LeaderRole> roles = new ArrayList<>(List.of(this.relayRole));
+		if (this.hasSubscribers || view.countAhead(this.relayRole, nowMs) < RELAY_CANDIDATES
+				|| view.countAhead(LeaderRole.STORE_READER, nowMs) < READER_CANDIDATES) {
+			roles.add(LeaderRole.STORE_READER);
 		}
-		return duties;
+		return roles;
 	}
 
 	/**
-	 * Return the VM that this one should be told by.
-	 * @param view who holds duties; has to be told of {@link #watchedRoles} before
-	 * @param nowMs the steady clock
-	 * @return its name; this VM's own if it is to read the store
+	 * Return the VM that this one should have as its source.
+	 * @param view the leaders of the roles, which must watch {@link #watchedRoles}
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the name of the VM; this VM's name if it should read the store
 	 */
 	public String preferredSource(LeaderView view, long nowMs) {
 		if (view.countAhead(LeaderRole.STORE_READER, nowMs) == 0) {
 			return this.vm;
 		}
-		String near = view.leader(this.relay);
-		return near.equals(this.vm) ? view.leader(LeaderRole.STORE_READER) : near;
+		String relay = view.leader(this.relayRole);
+		return relay.equals(this.vm) ? view.leader(LeaderRole.STORE_READER) : relay;
 	}
 
 	/**
-	 * Look whether the source is to be another one. To be called several times a second.
-	 * @param view who holds duties
-	 * @param serving whether this VM knows enough to need only what changes
-	 * @param othersKnown whether it has read which VMs there are
-	 * @param nowMs the steady clock
-	 * @return what to do
+	 * Check whether the source has to change. Must be called several times a second.
+	 * @param view the leaders of the roles
+	 * @param serving whether this VM holds the store's contents and needs only changes
+	 * @param vmsLoaded whether this VM has loaded the records of the VMs
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the action that the caller has to take
 	 */
-	public Action review(LeaderView view, boolean serving, boolean othersKnown, long nowMs) {
-		String wanted = preferredSource(view, nowMs);
-		boolean asHolder = wanted.equals(this.vm) || view.leader(this.relay).equals(this.vm);
-		long mostAgeMs = asHolder ? MOST_READER_AGE_MS : MOST_RELAY_AGE_MS;
-		if (!wanted.equals(this.vm) && health(wanted).fit(mostAgeMs, nowMs)) {
-			this.unfitSinceMs = NEVER;
-			this.unanswered = false;
-			return followIfSettled(wanted, serving, mostAgeMs, nowMs);
+	public Action review(LeaderView view, boolean serving, boolean vmsLoaded, long nowMs) {
+		String preferred = preferredSource(view, nowMs);
+		boolean asLeader = preferred.equals(this.vm) || view.leader(this.relayRole).equals(this.vm);
+		long maxAgeMs = asLeader ? MAX_READER_AGE_MS : MAX_RELAY_AGE_MS;
+		if (!preferred.equals(this.vm) && freshness(preferred).isFresh(maxAgeMs, nowMs)) {
+			this.staleSinceMs = NEVER;
+			this.probeFailed = false;
+			return subscribeIfSettled(preferred, serving, maxAgeMs, nowMs);
 		}
-		if (this.unfitSinceMs == NEVER) {
-			this.unfitSinceMs = nowMs;
+		if (this.staleSinceMs == NEVER) {
+			this.staleSinceMs = nowMs;
 		}
-		if (isReadingStore() || nowMs < readFromMs(view, asHolder, othersKnown, nowMs)) {
+		if (isReadingStore() || nowMs < earliestReadMs(view, asLeader, vmsLoaded, nowMs)) {
 			return Action.KEEP;
 		}
-		if (!storeAnswers()) {
-			return askIfDue(nowMs);
+		if (!isStoreAvailable()) {
+			return probeIfDue(nowMs);
 		}
-		if (this.unanswered && nowMs < this.answeredMs + AFTER_OUTAGE_MS && ahead(view, nowMs) > 0) {
+		if (this.probeFailed && nowMs < this.probeSuccessMs + RECOVERY_DELAY_MS && countAhead(view, nowMs) > 0) {
 			return Action.KEEP;
 		}
 		this.source = this.vm;
 		return Action.READ_STORE;
 	}
 
-	// At a start, that the record was written shows that the store answers.
-	private boolean storeAnswers() {
-		boolean recorded = this.source.isEmpty() && this.recordedMs != NEVER;
-		return recorded || this.answeredMs >= this.unfitSinceMs;
+	// At a start, the written record shows that the store is available.
+	private boolean isStoreAvailable() {
+		boolean recorded = this.source.isEmpty() && this.recordWrittenMs != NEVER;
+		return recorded || this.probeSuccessMs >= this.staleSinceMs;
 	}
 
-	private Action askIfDue(long nowMs) {
-		if (nowMs - this.askedMs < ASK_MS) {
+	private Action probeIfDue(long nowMs) {
+		if (nowMs - this.lastProbeMs < PROBE_PERIOD_MS) {
 			return Action.KEEP;
 		}
-		this.askedMs = nowMs;
+		this.lastProbeMs = nowMs;
 		return Action.PROBE;
 	}
 
 	/**
-	 * Return whether this VM knows what the store says from where it should.
-	 * @return false while neither its source nor the store tells it
+	 * Return whether this VM's preferred source is fresh.
+	 * @return false while this VM has to read the store, or waits for the store or a
+	 * source
 	 */
 	public boolean hasFreshSource() {
-		return this.unfitSinceMs == NEVER;
+		return this.staleSinceMs == NEVER;
 	}
 
-	private Action followIfSettled(String wanted, boolean serving, long mostAgeMs, long nowMs) {
+	private Action subscribeIfSettled(String preferred, boolean serving, long maxAgeMs, long nowMs) {
 		long settleMs = isReadingStore() ? SETTLE_MS : 0;
-		boolean settled = health(wanted).fitForMs(mostAgeMs, nowMs) >= settleMs && (serving || !isReadingStore());
-		if (this.source.equals(wanted) || !settled) {
+		boolean settled = freshness(preferred).freshForMs(maxAgeMs, nowMs) >= settleMs
+				&& (serving || !isReadingStore());
+		if (this.source.equals(preferred) || !settled) {
 			return Action.KEEP;
 		}
-		this.source = wanted;
+		this.source = preferred;
 		return Action.SUBSCRIBE;
 	}
 
-	private long readFromMs(LeaderView view, boolean asHolder, boolean othersKnown, long nowMs) {
+	private long earliestReadMs(LeaderView view, boolean asLeader, boolean vmsLoaded, long nowMs) {
 		if (!this.source.isEmpty()) {
-			return this.unfitSinceMs + (asHolder ? 0 : GRACE_MS);
+			return this.staleSinceMs + (asLeader ? 0 : FALLBACK_DELAY_MS);
 		}
-		if (this.recordedMs == NEVER || !othersKnown) {
-			return this.startedMs + UNKNOWN_START_MS;
+		if (this.recordWrittenMs == NEVER || !vmsLoaded) {
+			return this.startedMs + UNRANKED_START_DELAY_MS;
 		}
-		return this.recordedMs + startWaitMs(ahead(view, nowMs));
+		return this.recordWrittenMs + startDelayMs(countAhead(view, nowMs));
 	}
 
-	private int ahead(LeaderView view, long nowMs) {
-		return Math.min(view.countAhead(this.relay, nowMs), view.countAhead(LeaderRole.STORE_READER, nowMs));
+	private int countAhead(LeaderView view, long nowMs) {
+		return Math.min(view.countAhead(this.relayRole, nowMs), view.countAhead(LeaderRole.STORE_READER, nowMs));
 	}
 
-	private static long startWaitMs(int ahead) {
+	private static long startDelayMs(int ahead) {
 		return switch (ahead) {
 			case 0 -> 0;
-			case 1 -> SECOND_START_MS;
-			default -> Math.min(LATER_START_MS + ahead * LATER_STEP_MS, LATEST_START_MS);
+			case 1 -> SECOND_START_DELAY_MS;
+			default -> Math.min(LATER_START_DELAY_MS + ahead * START_DELAY_STEP_MS, MAX_START_DELAY_MS);
 		};
 	}
 
 	/**
 	 * Return whether this VM reads the store itself.
-	 * @return false if it is told by another VM, or by none yet
+	 * @return false if it subscribes to another VM, or has no source yet
 	 */
 	public boolean isReadingStore() {
 		return this.source.equals(this.vm);
 	}
 
 	/**
-	 * Return the VM that this one is told by.
-	 * @return its name; this VM's own if it reads the store; empty before the first
-	 * choice
+	 * Return the current source.
+	 * @return the name of the VM; this VM's name if it reads the store; empty before the
+	 * first choice
 	 */
 	public String source() {
 		return this.source;
 	}
 
 	/**
-	 * Return whether this VM knows what the store says, and can pass it on.
-	 * @param nowMs the steady clock
-	 * @return false while nobody that the store answered has told it
+	 * Return whether this VM holds the store's contents and can relay them.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return false until the contents have arrived, from the store or a source
 	 */
 	public boolean canRelay(long nowMs) {
 		return storeAgeMs(nowMs) <= Integer.MAX_VALUE;
 	}
 
 	/**
-	 * Return how long ago the store answered whoever tells this VM.
-	 * @param nowMs the steady clock
-	 * @return milliseconds; more than an {@code int} holds if it never did
+	 * Return the age of the store's contents at this VM.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the time since the store was read, in milliseconds; more than
+	 * {@link Integer#MAX_VALUE} if there are no contents
 	 */
 	public long storeAgeMs(long nowMs) {
 		if (isReadingStore()) {
-			return nowMs - this.contactMs;
+			return nowMs - this.storeReadMs;
 		}
-		return this.source.isEmpty() ? Long.MAX_VALUE : health(this.source).ageMs(nowMs);
+		return this.source.isEmpty() ? Long.MAX_VALUE : freshness(this.source).ageMs(nowMs);
 	}
 
-	/** What a review leads to. */
+	/** The action that follows a review. */
 	public enum Action {
 
-		/** All stays as it is. */
+		/** Keep the current source. */
 		KEEP,
 		/**
-		 * Ask by the cheapest call whether the store answers; review again if it does.
+		 * Probe the store by the cheapest call; review again if it is available.
 		 */
 		PROBE,
-		/** Read the store from now on. */
+		/** Start to read the store. */
 		READ_STORE,
-		/** Be told by another VM from now on. */
+		/** Subscribe to another VM. */
 		SUBSCRIBE
 
 	}
--- a/core/src/main/java/org/tallycart/core/fleet/VmRecord.java
+++ b/core/src/main/java/org/tallycart/core/fleet/VmRecord.java
@@ -3,13 +3,13 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * What a VM tells the others of itself, through the platform's store.
+ * A VM's entry in the platform's store, by which other VMs discover it.
  *
- * @param vm its name
- * @param address where it accepts other VMs
- * @param failureDomain where it is
- * @param capacity its processor time, in thousandths of a core; duties go to the VMs that
- * have most
+ * @param vm the name of the VM
+ * @param address the address at which it accepts connections of other VMs
+ * @param failureDomain the failure domain of the VM
+ * @param capacity the processor time of the VM, in thousandths of a core; VMs with more
+ * capacity are preferred as leaders
  * @since 0.1
  */
 public record VmRecord(String vm, Address address, String failureDomain, int capacity) {
--- a/core/src/main/java/org/tallycart/core/fleet/package-info.java
+++ b/core/src/main/java/org/tallycart/core/fleet/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Which VM of the fleet holds a duty for others, such as dispatching a stage pool, and
- * which VMs a VM keeps in touch with for that. Reads no clock and opens no socket.
- * Promise kept: a VM asks only VMs that answer it, and a lost one is replaced within a
- * second. Tests are in {@code DutyTableTests}.
+ * Leader election for roles such as dispatching a stage pool, failure detection between
+ * VMs, and the choice of each VM's source of the store's contents. Reads no clock and
+ * opens no socket. A VM uses only leaders that reply, and a failed leader is replaced
+ * within a second.
  */
 @NullMarked
 package org.tallycart.core.fleet;
--- a/core/src/main/java/org/tallycart/core/upstream/UpstreamDirectory.java
+++ b/core/src/main/java/org/tallycart/core/upstream/UpstreamDirectory.java
@@ -19,7 +19,7 @@
  * <p>
  * Entries that vanish during an outage of the platform's store, or in a grace period
  * after it, are kept until the grace period ends, since most of their upstreams are live
- * and could only not renew them.
+ * and only failed to renew them.
  * <p>
  * Invariant: upstreams that are draining or backing off, by their entries or replies,
  * upstreams that are removed, and upstreams in an evacuated failure domain are never
--- a/core/src/test/java/org/tallycart/core/fleet/LeaderTableTests.java
+++ b/core/src/test/java/org/tallycart/core/fleet/LeaderTableTests.java
@@ -21,16 +21,16 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for {@link LeaderTable}: several VMs' tables with an imagined network between
- * them.
+ * Tests for {@link LeaderTable}: the tables of several VMs with a simulated network
+ * between them.
  */
 public class LeaderTableTests {
 
-	private static final LeaderRole DUTY = LeaderRole.poolDispatcher("pool");
+	private static final LeaderRole ROLE = LeaderRole.poolDispatcher("pool");
 
 	private static final long STEP_MS = 100;
 
-	private static final long FORMER_AND_SILENCE_MS = 14_000;
+	private static final long FORMER_ROLE_AND_TIMEOUT_MS = 14_000;
 
 	private static List<VmRecord> records(int vms) {
 		return IntStream.range(0, vms)
@@ -42,98 +42,103 @@
 	void allVmsAgreeOnOneOfTheLargest() {
 		SimulatedFleet fleet = new SimulatedFleet(40);
 		fleet.run(2_000);
-		assertEquals(fleet.holders(DUTY).size(), 1);
-		int number = Integer.parseInt(fleet.holders(DUTY).iterator().next().substring(3));
-		assertTrue(number < 4, "a small VM holds a duty: " + number);
+		assertEquals(fleet.leaders(ROLE).size(), 1);
+		int number = Integer.parseInt(fleet.leaders(ROLE).iterator().next().substring(3));
+		assertTrue(number < 4, "a small VM leads a role: " + number);
 	}
 
-	/** Four of the VMs are large, so three pools have one each, whatever their names. */
+	/**
+	 * Four of the VMs are large, so three pools have different leaders, whatever the pool
+	 * names.
+	 */
 	@Test(dataProvider = "seeds")
-	void poolsWithLoadDoNotMeetAtOneVmWhileItsEqualsHaveNone(long seed) {
+	void heavyRolesAreSpreadOverVmsOfEqualCapacity(long seed) {
 		LeaderTable table = new LeaderTable("vm-39");
 		table.updateRecords(records(40));
-		List<LeaderRole> duties = IntStream.range(0, 3)
+		List<LeaderRole> roles = IntStream.range(0, 3)
 			.mapToObj((i) -> LeaderRole.poolDispatcher("pool" + seed + i))
 			.toList();
-		table.setWatchedRoles(duties);
+		table.setWatchedRoles(roles);
 		table.dueHeartbeats(0);
 		records(4).forEach((record) -> table.onAnswer(record.vm(), 1, false, 10));
-		assertEquals(duties.stream().map(table::leader).distinct().count(), 3);
+		assertEquals(roles.stream().map(table::leader).distinct().count(), 3);
 	}
 
 	/**
-	 * All VMs start at once and have work for a pool before they have heard each other.
-	 * If each did it by itself until then, the pool would have as many dispatchers.
+	 * All VMs start at once and have work for a pool before they receive replies of each
+	 * other. Without a single leader, each VM would dispatch for the pool.
 	 */
 	@Test
-	void whileAllStartFewTakeThemselvesForTheHolder() {
+	void duringAStartOnlyOneVmConsidersItselfTheLeader() {
 		SimulatedFleet fleet = new SimulatedFleet(95);
-		Set<String> unheard = new HashSet<>(fleet.tables.keySet());
+		Set<String> unreachable = new HashSet<>(fleet.tables.keySet());
 		int dispatchers = 0;
 		for (int step = 0; step < 6; step++) {
-			fleet.down.addAll(unheard);
+			fleet.down.addAll(unreachable);
 			fleet.tables.forEach((vm, table) -> table.dueHeartbeats(fleet.nowMs));
-			dispatchers = Math.max(dispatchers, fleet.settledAtThemselves());
+			dispatchers = Math.max(dispatchers, fleet.countSelfLeaders());
 			fleet.down.clear();
-			unheard.removeIf((vm) -> Integer.parseInt(vm.substring(3)) % 6 == fleet.nowMs / STEP_MS);
+			unreachable.removeIf((vm) -> Integer.parseInt(vm.substring(3)) % 6 == fleet.nowMs / STEP_MS);
 			fleet.run(STEP_MS);
 		}
 		assertEquals(dispatchers, 1, "VMs that dispatch at the same time");
 	}
 
 	@Test
-	void aVmThatDoesNotAnswerDoesNotKeepTheHolderUnknown() {
+	void anUnresponsiveVmDoesNotKeepTheLeaderUnknown() {
 		SimulatedFleet fleet = new SimulatedFleet(12);
 		IntStream.range(0, 4).forEach((i) -> fleet.down.add("vm-" + i));
 		fleet.run(3_000);
 		fleet.tables
-			.forEach((vm, table) -> assertTrue(fleet.down.contains(vm) || table.isLeaderKnown(DUTY, fleet.nowMs)));
+			.forEach((vm, table) -> assertTrue(fleet.down.contains(vm) || table.isLeaderKnown(ROLE, fleet.nowMs)));
 	}
 
 	@Test
-	void aDutyOfAFailureDomainIsHeldThere() {
+	void aRoleOfAFailureDomainIsLedThere() {
 		SimulatedFleet fleet = new SimulatedFleet(12);
-		LeaderRole duty = LeaderRole.domainRelay("d1");
-		fleet.want(duty);
+		LeaderRole role = LeaderRole.domainRelay("d1");
+		fleet.watch(role);
 		fleet.run(2_000);
-		int number = Integer.parseInt(fleet.holders(duty).iterator().next().substring(3));
+		int number = Integer.parseInt(fleet.leaders(role).iterator().next().substring(3));
 		assertEquals(number % 4, 1);
 	}
 
 	@Test(dataProvider = "losses")
-	void aLostHolderIsReplacedWithinASecond(boolean drains) {
+	void aFailedLeaderIsReplacedWithinASecond(boolean drains) {
 		SimulatedFleet fleet = new SimulatedFleet(12);
 		fleet.run(3_000);
-		String first = fleet.holders(DUTY).iterator().next();
+		String formerLeader = fleet.leaders(ROLE).iterator().next();
 		if (drains) {
-			fleet.table(first).drain();
+			fleet.table(formerLeader).drain();
 		}
 		else {
-			fleet.down.add(first);
+			fleet.down.add(formerLeader);
 		}
 		fleet.run(1_000);
-		assertEquals(fleet.holders(DUTY).size(), 1);
-		assertFalse(fleet.holders(DUTY).contains(first));
+		assertEquals(fleet.leaders(ROLE).size(), 1);
+		assertFalse(fleet.leaders(ROLE).contains(formerLeader));
 	}
 
-	/** It is asked less often from then on, but what it still makes is not given up. */
+	/**
+	 * Its heartbeat period grows, but the work that it still has must not be given up.
+	 */
 	@Test
-	void aHolderThatDrainsAndAnswersIsNotLost() {
+	void aDrainingLeaderThatRepliesHasNotFailed() {
 		SimulatedFleet fleet = new SimulatedFleet(12);
 		fleet.run(3_000);
-		fleet.table(fleet.holders(DUTY).iterator().next()).drain();
+		fleet.table(fleet.leaders(ROLE).iterator().next()).drain();
 		fleet.run(6_000);
-		assertEquals(fleet.lost, Set.of());
+		assertEquals(fleet.failed, Set.of());
 	}
 
 	@Test
-	void aVmThatTellsThatItDrainsHoldsNothing() {
+	void aDrainingVmLeadsNoRole() {
 		SimulatedFleet fleet = new SimulatedFleet(12);
 		fleet.run(3_000);
-		String first = fleet.holders(DUTY).iterator().next();
-		fleet.tables.forEach((vm, table) -> table.onDraining(first));
-		fleet.table(first).drain();
-		assertFalse(fleet.holders(DUTY).contains(first), "no beat was needed");
+		String formerLeader = fleet.leaders(ROLE).iterator().next();
+		fleet.tables.forEach((vm, table) -> table.onDraining(formerLeader));
+		fleet.table(formerLeader).drain();
+		assertFalse(fleet.leaders(ROLE).contains(formerLeader), "no heartbeat was needed");
 	}
 
 	@DataProvider
@@ -142,48 +147,48 @@
 	}
 
 	@Test
-	void aHolderThatComesBackHoldsItsDutyAgain() {
+	void aRecoveredLeaderLeadsItsRoleAgain() {
 		SimulatedFleet fleet = new SimulatedFleet(12);
 		fleet.run(3_000);
-		Set<String> before = fleet.holders(DUTY);
+		Set<String> before = fleet.leaders(ROLE);
 		fleet.down.addAll(before);
 		fleet.run(5_000);
-		assertNotEquals(fleet.holders(DUTY), before);
+		assertNotEquals(fleet.leaders(ROLE), before);
 		fleet.down.clear();
 		fleet.run(3_000);
-		assertEquals(fleet.holders(DUTY), before);
+		assertEquals(fleet.leaders(ROLE), before);
 	}
 
 	@Test
-	void recordsOfVmsThatAreGoneDoNotStandInTheWay() {
+	void recordsOfStoppedVmsDoNotPreventAnElection() {
 		SimulatedFleet fleet = new SimulatedFleet(12);
 		IntStream.range(0, 8).forEach((i) -> fleet.down.add("vm-" + i));
 		fleet.run(6_000);
-		assertEquals(fleet.holders(DUTY).size(), 1);
-		assertFalse(fleet.down.containsAll(fleet.holders(DUTY)));
+		assertEquals(fleet.leaders(ROLE).size(), 1);
+		assertFalse(fleet.down.containsAll(fleet.leaders(ROLE)));
 	}
 
 	@Test
-	void questionsDoNotGrowWithTheFleet() {
+	void heartbeatsDoNotGrowWithTheFleet() {
 		SimulatedFleet small = new SimulatedFleet(6);
 		SimulatedFleet large = new SimulatedFleet(300);
 		small.run(5_000);
 		large.run(5_000);
-		small.questions = 0;
-		large.questions = 0;
+		small.heartbeats = 0;
+		large.heartbeats = 0;
 		small.run(10_000);
 		large.run(10_000);
-		assertTrue(large.questions / 300.0 <= small.questions / 6.0 * 1.5,
-				small.questions / 6.0 + " and " + large.questions / 300.0 + " questions a VM");
+		assertTrue(large.heartbeats / 300.0 <= small.heartbeats / 6.0 * 1.5,
+				small.heartbeats / 6.0 + " and " + large.heartbeats / 300.0 + " heartbeats a VM");
 	}
 
 	@Test
-	void aVmThatStoodStillDoesNotTakeTheOthersForLost() {
+	void aPausedVmDoesNotDetectFailuresOfOthers() {
 		SimulatedFleet fleet = new SimulatedFleet(6);
 		fleet.run(3_000);
 		String other = fleet.tables.keySet()
 			.stream()
-			.filter((vm) -> !fleet.holders(DUTY).contains(vm))
+			.filter((vm) -> !fleet.leaders(ROLE).contains(vm))
 			.findFirst()
 			.get();
 		LeaderTable table = fleet.table(other);
@@ -192,35 +197,35 @@
 	}
 
 	/**
-	 * At a start, VMs become known one after the other, and the first of them are soon
-	 * behind others in rank.
+	 * During a start, records are loaded one after the other, so early VMs lose their
+	 * rank.
 	 */
 	@Test
-	void aVmThatIsNotAskedAnyMoreIsNotTakenForLost() {
+	void aVmWithoutHeartbeatRequestsHasNotFailed() {
 		SimulatedFleet fleet = new SimulatedFleet(12);
 		LeaderTable table = fleet.table("vm-11");
 		table.updateRecords(records(12).subList(6, 12));
 		fleet.run(1_000);
 		table.updateRecords(records(12));
-		fleet.run(FORMER_AND_SILENCE_MS);
-		assertEquals(fleet.lost, Set.of());
+		fleet.run(FORMER_ROLE_AND_TIMEOUT_MS);
+		assertEquals(fleet.failed, Set.of());
 		assertEquals(table.liveCount(), 2);
 	}
 
 	@Test
-	void aClosedConnectionIsAskedAnewAtOnce() {
+	void aClosedConnectionIsRetriedAtOnce() {
 		SimulatedFleet fleet = new SimulatedFleet(6);
 		fleet.run(3_000);
-		String holder = fleet.holders(DUTY).iterator().next();
-		String other = fleet.tables.keySet().stream().filter((vm) -> !vm.equals(holder)).findFirst().get();
-		assertTrue(fleet.table(other).onConnectionClosed(holder));
-		assertNotEquals(fleet.table(other).leader(DUTY), holder);
+		String leader = fleet.leaders(ROLE).iterator().next();
+		String other = fleet.tables.keySet().stream().filter((vm) -> !vm.equals(leader)).findFirst().get();
+		assertTrue(fleet.table(other).onConnectionClosed(leader));
+		assertNotEquals(fleet.table(other).leader(ROLE), leader);
 		fleet.run(STEP_MS);
-		assertEquals(fleet.table(other).leader(DUTY), holder);
+		assertEquals(fleet.table(other).leader(ROLE), leader);
 	}
 
 	@Test
-	void aRestartIsTold() {
+	void aRestartIsReported() {
 		LeaderTable table = new LeaderTable("vm-0");
 		table.updateRecords(records(3));
 		assertEquals(table.onAnswer("vm-1", 7, false, 0), LeaderTable.Change.FOUND);
@@ -230,7 +235,7 @@
 	}
 
 	@Test(dataProvider = "seeds")
-	void whateverIsLostAHolderAnsweredLatelyAndAllAgreeWhenAllIsWell(long seed) {
+	void afterRandomFailuresLeadersAreLiveAndAllVmsAgree(long seed) {
 		Random random = new Random(seed);
 		SimulatedFleet fleet = new SimulatedFleet(4 + random.nextInt(20));
 		for (int round = 0; round < 20; round++) {
@@ -239,11 +244,11 @@
 				fleet.down.add(vm);
 			}
 			fleet.run(STEP_MS + random.nextInt(3_000));
-			fleet.checkHolders();
+			fleet.checkLeaders();
 		}
 		fleet.down.clear();
 		fleet.run(6_000);
-		assertEquals(fleet.holders(DUTY).size(), 1, "seed " + seed);
+		assertEquals(fleet.leaders(ROLE).size(), 1, "seed " + seed);
 	}
 
 	@DataProvider
@@ -252,7 +257,7 @@
 	}
 
 	/**
-	 * Tables of all VMs; what one asks another is answered at once, unless one is down.
+	 * The tables of all VMs; replies arrive at once, unless a VM is down.
 	 */
 	private static final class SimulatedFleet {
 
@@ -260,21 +265,21 @@
 
 		private final Set<String> down = new HashSet<>();
 
-		private final Map<String, Long> answered = new HashMap<>();
+		private final Map<String, Long> lastReplyMs = new HashMap<>();
 
-		private final Map<String, Long> stepped = new HashMap<>();
+		private final Map<String, Long> lastStepMs = new HashMap<>();
 
 		private long nowMs;
 
-		private int questions;
+		private int heartbeats;
 
-		private final Set<String> lost = new HashSet<>();
+		private final Set<String> failed = new HashSet<>();
 
 		private SimulatedFleet(int vms) {
 			for (VmRecord record : records(vms)) {
 				LeaderTable table = new LeaderTable(record.vm());
 				table.updateRecords(records(vms));
-				table.setWatchedRoles(List.of(DUTY));
+				table.setWatchedRoles(List.of(ROLE));
 				this.tables.put(record.vm(), table);
 			}
 		}
@@ -283,18 +288,18 @@
 			return Optional.ofNullable(this.tables.get(vm)).orElseThrow();
 		}
 
-		private int settledAtThemselves() {
+		private int countSelfLeaders() {
 			return (int) this.tables.entrySet()
 				.stream()
-				.filter((each) -> each.getValue().leader(DUTY).equals(each.getKey()))
-				.filter((each) -> each.getValue().isLeaderKnown(DUTY, this.nowMs))
+				.filter((each) -> each.getValue().leader(ROLE).equals(each.getKey()))
+				.filter((each) -> each.getValue().isLeaderKnown(ROLE, this.nowMs))
 				.count();
 		}
 
-		private void want(LeaderRole duty) {
+		private void watch(LeaderRole role) {
 			this.tables.forEach((vm, table) -> {
-				if (table.record(vm).orElseThrow().failureDomain().equals(duty.failureDomain().orElseThrow())) {
-					table.setWatchedRoles(List.of(duty));
+				if (table.record(vm).orElseThrow().failureDomain().equals(role.failureDomain().orElseThrow())) {
+					table.setWatchedRoles(List.of(role));
 				}
 			});
 		}
@@ -309,40 +314,41 @@
 			}
 		}
 
-		// A VM that was down stood still: its own time went on now.
+		// A VM that was down counts as paused.
 		private void step(String vm, LeaderTable table) {
-			long pause = this.nowMs - this.stepped.getOrDefault(vm, this.nowMs);
-			this.stepped.put(vm, this.nowMs);
+			long pause = this.nowMs - this.lastStepMs.getOrDefault(vm, this.nowMs);
+			this.lastStepMs.put(vm, this.nowMs);
 			if (pause > STEP_MS) {
-				this.answered.replaceAll((pair, at) -> pair.startsWith(vm + ">") ? at + pause : at);
+				this.lastReplyMs.replaceAll((pair, at) -> pair.startsWith(vm + ">") ? at + pause : at);
 			}
-			for (VmRecord asked : table.dueHeartbeats(this.nowMs)) {
-				this.questions++;
-				if (!this.down.contains(asked.vm())) {
-					table.onAnswer(asked.vm(), 1, table(asked.vm()).isDraining(), this.nowMs);
-					this.answered.put(vm + ">" + asked.vm(), this.nowMs);
+			for (VmRecord requested : table.dueHeartbeats(this.nowMs)) {
+				this.heartbeats++;
+				if (!this.down.contains(requested.vm())) {
+					table.onAnswer(requested.vm(), 1, table(requested.vm()).isDraining(), this.nowMs);
+					this.lastReplyMs.put(vm + ">" + requested.vm(), this.nowMs);
 				}
 			}
-			this.lost.addAll(table.detectFailures(this.nowMs));
+			this.failed.addAll(table.detectFailures(this.nowMs));
 		}
 
-		private Set<String> holders(LeaderRole duty) {
-			Set<String> holders = new HashSet<>();
+		private Set<String> leaders(LeaderRole role) {
+			Set<String> leaders = new HashSet<>();
 			this.tables.forEach((vm, table) -> {
-				boolean concerned = duty.mayBeHeldBy(table.record(vm).orElseThrow());
-				if (concerned && !this.down.contains(vm) && !table.isDraining()) {
-					holders.add(table.leader(duty));
+				boolean eligible = role.isEligible(table.record(vm).orElseThrow());
+				if (eligible && !this.down.contains(vm) && !table.isDraining()) {
+					leaders.add(table.leader(role));
 				}
 			});
-			return holders;
+			return leaders;
 		}
 
-		private void checkHolders() {
+		private void checkLeaders() {
 			this.tables.forEach((vm, table) -> {
-				String holder = table.leader(DUTY);
-				if (!this.down.contains(vm) && !holder.equals(vm)) {
-					long age = this.nowMs - this.answered.get(vm + ">" + holder);
-					assertTrue(age <= PeerLiveness.SPARE_SILENCE_MS + STEP_MS, holder + " answered " + age + " ms ago");
+				String leader = table.leader(ROLE);
+				if (!this.down.contains(vm) && !leader.equals(vm)) {
+					long age = this.nowMs - this.lastReplyMs.get(vm + ">" + leader);
+					assertTrue(age <= PeerLiveness.STANDBY_TIMEOUT_MS + STEP_MS,
+							leader + " replied " + age + " ms ago");
 				}
 			});
 		}
--- a/core/src/test/java/org/tallycart/core/fleet/PeerReachabilityTests.java
+++ b/core/src/test/java/org/tallycart/core/fleet/PeerReachabilityTests.java
@@ -9,7 +9,7 @@
 import static org.testng.Assert.assertEquals;
 
 /**
- * Tests for the part of a shared rate that a VM grants by which others it hears.
+ * Tests for {@link PeerReachability}: the share of a common rate that a VM grants.
  */
 public class PeerReachabilityTests {
 
@@ -19,61 +19,61 @@
 		return IntStream.range(0, count).mapToObj((i) -> "vm-" + i).collect(Collectors.toSet());
 	}
 
-	private static PeerReachability hears(int count, long nowMs) {
-		PeerReachability heard = new PeerReachability(0);
-		vms(count).forEach((vm) -> heard.onMessage(vm, nowMs));
-		return heard;
+	private static PeerReachability withMessagesFrom(int count, long nowMs) {
+		PeerReachability reachability = new PeerReachability(0);
+		vms(count).forEach((vm) -> reachability.onMessage(vm, nowMs));
+		return reachability;
 	}
 
 	@Test
-	void whoeverHearsAllGrantsAll() {
-		assertEquals(hears(5, LONG_UP_MS).shareOfRate(Set.of(), vms(6), LONG_UP_MS), 1.0);
+	void aVmThatReachesAllOthersGrantsTheFullRate() {
+		assertEquals(withMessagesFrom(5, LONG_UP_MS).shareOfRate(Set.of(), vms(6), LONG_UP_MS), 1.0);
 	}
 
-	/** Pattern: a VM is alone since the others were taken away long ago. */
+	/** A VM is alone after the others were removed long ago. */
 	@Test
-	void vmsThatEndedLongAgoDoNotCount() {
-		assertEquals(hears(5, 0).shareOfRate(Set.of(), vms(6), LONG_UP_MS), 1.0);
+	void vmsThatStoppedLongAgoDoNotCount() {
+		assertEquals(withMessagesFrom(5, 0).shareOfRate(Set.of(), vms(6), LONG_UP_MS), 1.0);
 	}
 
-	/** Pattern: a VM is cut off from all others, or all others ended at once. */
+	/** A VM is partitioned from all others, or all others stop at once. */
 	@Test
-	void whoeverHasLostMostOfTheOthersGrantsAThirdAtMost() {
-		PeerReachability heard = hears(5, LONG_UP_MS);
+	void aVmWithoutAMajorityGrantsAtMostAThird() {
+		PeerReachability reachability = withMessagesFrom(5, LONG_UP_MS);
 		long laterMs = LONG_UP_MS + 2_000;
-		assertEquals(heard.shareOfRate(Set.of(), vms(6), laterMs), 1.0 / 3, 1e-9);
-		assertEquals(heard.shareOfRate(Set.of("vm-1"), vms(6), laterMs), 1.0 / 9, 1e-9);
-		heard.onMessage("vm-1", laterMs);
-		heard.onMessage("vm-2", laterMs);
-		heard.onMessage("vm-3", laterMs);
-		assertEquals(heard.shareOfRate(Set.of(), vms(6), laterMs), 1.0);
+		assertEquals(reachability.shareOfRate(Set.of(), vms(6), laterMs), 1.0 / 3, 1e-9);
+		assertEquals(reachability.shareOfRate(Set.of("vm-1"), vms(6), laterMs), 1.0 / 9, 1e-9);
+		reachability.onMessage("vm-1", laterMs);
+		reachability.onMessage("vm-2", laterMs);
+		reachability.onMessage("vm-3", laterMs);
+		assertEquals(reachability.shareOfRate(Set.of(), vms(6), laterMs), 1.0);
 	}
 
-	/** Pattern: whoever granted before is lost; who else is lost is not known yet. */
+	/** The previous leader fails, and other failures are not detected yet. */
 	@Test
-	void afterALossOnlyWhatIsHeardSinceCounts() {
-		PeerReachability heard = hears(5, LONG_UP_MS);
-		heard.onPeerLost(LONG_UP_MS + 10);
-		assertEquals(heard.shareOfRate(Set.of("vm-0"), vms(6), LONG_UP_MS + 20), 1.0 / 9, 1e-9);
-		vms(5).stream().skip(1).forEach((vm) -> heard.onMessage(vm, LONG_UP_MS + 200));
-		assertEquals(heard.shareOfRate(Set.of("vm-0"), vms(6), LONG_UP_MS + 200), 1.0 / 3, 1e-9,
-				"the one before may be heard by others that this one hears, too");
+	void afterAFailureOnlyLaterMessagesCount() {
+		PeerReachability reachability = withMessagesFrom(5, LONG_UP_MS);
+		reachability.onPeerLost(LONG_UP_MS + 10);
+		assertEquals(reachability.shareOfRate(Set.of("vm-0"), vms(6), LONG_UP_MS + 20), 1.0 / 9, 1e-9);
+		vms(5).stream().skip(1).forEach((vm) -> reachability.onMessage(vm, LONG_UP_MS + 200));
+		assertEquals(reachability.shareOfRate(Set.of("vm-0"), vms(6), LONG_UP_MS + 200), 1.0 / 3, 1e-9,
+				"the one before may still be reachable by others");
 	}
 
 	@Test
-	void whoeverLeavesIsNotMissed() {
-		PeerReachability heard = hears(5, LONG_UP_MS);
-		vms(5).forEach(heard::onDraining);
-		assertEquals(heard.shareOfRate(Set.of(), vms(6), LONG_UP_MS + 5_000), 1.0);
+	void drainingVmsDoNotCount() {
+		PeerReachability reachability = withMessagesFrom(5, LONG_UP_MS);
+		vms(5).forEach(reachability::onDraining);
+		assertEquals(reachability.shareOfRate(Set.of(), vms(6), LONG_UP_MS + 5_000), 1.0);
 	}
 
-	/** Pattern: a VM starts, and has heard nobody yet. */
+	/** A VM starts and has received no message yet. */
 	@Test
-	void aVmThatHasJustStartedCountsAllThatAreRecorded() {
-		PeerReachability heard = new PeerReachability(0);
-		assertEquals(heard.shareOfRate(Set.of(), vms(6), 1_000), 1.0 / 3, 1e-9);
-		assertEquals(heard.shareOfRate(Set.of(), vms(1), 1_000), 1.0);
-		assertEquals(heard.shareOfRate(Set.of(), Set.of(), 1_000), 1.0);
+	void aVmThatHasJustStartedCountsAllRecordedVms() {
+		PeerReachability reachability = new PeerReachability(0);
+		assertEquals(reachability.shareOfRate(Set.of(), vms(6), 1_000), 1.0 / 3, 1e-9);
+		assertEquals(reachability.shareOfRate(Set.of(), vms(1), 1_000), 1.0);
+		assertEquals(reachability.shareOfRate(Set.of(), Set.of(), 1_000), 1.0);
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/fleet/StoreReaderSimulation.java
+++ b/core/src/test/java/org/tallycart/core/fleet/StoreReaderSimulation.java
@@ -11,9 +11,9 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * VMs that learn what the store says, in virtual time: the tables and choosers that the
- * serving process runs, an imagined store whose calls are counted, and messages that take
- * a step at most. No network, no threads, no clock.
+ * Simulation of VMs that receive the store's contents, in virtual time: the production
+ * tables and choosers, a simulated store whose calls are counted, and messages that take
+ * one step at most. Uses no network, threads or clock.
  * <p>
  * Not thread-safe: belongs to one test.
  */
@@ -21,30 +21,32 @@
 
 	static final long STEP_MS = 50;
 
-	/** A VM looks at its source this often, in milliseconds. */
+	/** Period in which a VM reviews its source, in milliseconds. */
 	private static final long REVIEW_MS = 200;
 
-	/** How long a VM that has just started takes to read a list, in milliseconds. */
-	private static final long FIRST_ANSWER_MS = 100;
+	/**
+	 * Time until a VM that starts to read the store has its first list, in milliseconds.
+	 */
+	private static final long FIRST_REPLY_MS = 100;
 
-	/** What a start writes and reads of VMs' records, in calls. */
+	/** Store calls of a starting VM for its own and the other VMs' records. */
 	private static final double RECORD_CALLS = 1.1;
 
-	/** What a VM that begins to read calls: lists in pages, and two watches. */
-	private static final double BEGIN_CALLS = 6;
+	/** Store calls of a VM that starts to read: paged lists, and two watches. */
+	private static final double INITIAL_READ_CALLS = 6;
 
-	/** What a question costs whether the store answers. */
-	private static final double ASK_CALLS = 0.1;
+	/** Cost of a store probe, in calls. */
+	private static final double PROBE_CALLS = 0.1;
 
-	/** Calls that read a second of everything: two watches, a list, probes. */
+	/** Store calls per second of a reader: two watches, a list, probes. */
 	private static final double READ_CALLS_PER_S = 2 / 1.5 + 0.1 + 0.25;
 
 	final Map<String, Vm> vms = new TreeMap<>();
 
 	final Set<String> down = new HashSet<>();
 
-	/** VMs that the store does not answer. */
-	final Set<String> cut = new HashSet<>();
+	/** The VMs that do not reach the store. */
+	final Set<String> storeUnreachable = new HashSet<>();
 
 	private final Map<String, VmRecord> stored = new TreeMap<>();
 
@@ -57,22 +59,22 @@
 	private double calls;
 
 	/**
-	 * Create a fleet. Every fifth VM is large; VMs start within 0.3 s, the large ones
-	 * first.
-	 * @param count how many VMs there are
-	 * @param domains how many failure domains they are spread over
-	 * @param seed of the order in which they start
+	 * Create a simulation. Every fifth VM is large; VMs start within 0.3 s, the large
+	 * ones first.
+	 * @param count the number of VMs
+	 * @param domains the number of failure domains
+	 * @param seed the seed of the start order
 	 */
 	StoreReaderSimulation(int count, int domains, long seed) {
 		this.random = new Random(seed);
 		for (int i = 0; i < count; i++) {
 			int capacity = (i % 5 == 0) ? 1_500 : 360;
 			VmRecord record = new VmRecord("vm-" + i, new Address("10.0.0.1", i + 1), "d" + i / 5 % domains, capacity);
-			this.vms.put(record.vm(), new Vm(record, startDelayMs(capacity)));
+			this.vms.put(record.vm(), new Vm(record, randomStartDelayMs(capacity)));
 		}
 	}
 
-	private long startDelayMs(int capacity) {
+	private long randomStartDelayMs(int capacity) {
 		return this.random.nextInt(150) + ((capacity > 1_000) ? 0 : 150);
 	}
 
@@ -80,20 +82,20 @@
 		for (long end = this.nowMs + ms; this.nowMs < end; this.nowMs += STEP_MS) {
 			for (Vm vm : new ArrayList<>(this.vms.values())) {
 				if (!this.down.contains(vm.name()) && this.nowMs >= vm.startMs) {
-					vm.step();
+					vm.advance();
 				}
 			}
 		}
 	}
 
-	// All processes end at once, and start again.
+	// All processes stop at once and start again.
 	void restartAll() {
 		new ArrayList<>(this.vms.keySet()).forEach(this::restart);
 	}
 
 	void restart(String name) {
 		VmRecord record = this.vms.get(name).record;
-		this.vms.put(name, new Vm(record, this.nowMs + startDelayMs(record.capacity())));
+		this.vms.put(name, new Vm(record, this.nowMs + randomStartDelayMs(record.capacity())));
 	}
 
 	void change() {
@@ -106,7 +108,7 @@
 		return taken;
 	}
 
-	long reading() {
+	long readerCount() {
 		return live().stream().filter((vm) -> vm.chooser.isReadingStore()).count();
 	}
 
@@ -114,25 +116,25 @@
 		return live().stream().filter((vm) -> vm.chooser.isReadingStore()).findFirst().orElseThrow().name();
 	}
 
-	// A VM that is told by the reader and passes on.
+	// Returns a VM that subscribes to the reader and has subscribers.
 	String relay() {
 		return live().stream()
-			.filter((vm) -> !vm.chooser.isReadingStore() && vm.followers() > 0)
+			.filter((vm) -> !vm.chooser.isReadingStore() && vm.subscriberCount() > 0)
 			.findFirst()
 			.orElseThrow()
 			.name();
 	}
 
 	/**
-	 * Return how long it takes until every live VM that the store answers knows what it
-	 * says now.
-	 * @param mostMs how long to wait
-	 * @return milliseconds
+	 * Return the time until every live VM that reaches the store has its current version.
+	 * @param timeoutMs the maximum time to simulate, in milliseconds
+	 * @return the time in milliseconds; {@link Long#MAX_VALUE} after the timeout
 	 */
-	long msUntilAllKnow(long mostMs) {
+	long msUntilAllUpdated(long timeoutMs) {
 		long beginMs = this.nowMs;
-		while (live().stream().anyMatch((vm) -> !this.cut.contains(vm.name()) && vm.known < this.version)) {
-			if (this.nowMs - beginMs > mostMs) {
+		while (live().stream()
+			.anyMatch((vm) -> !this.storeUnreachable.contains(vm.name()) && vm.version < this.version)) {
+			if (this.nowMs - beginMs > timeoutMs) {
 				return Long.MAX_VALUE;
 			}
 			run(STEP_MS);
@@ -144,7 +146,7 @@
 		return this.vms.values().stream().filter((vm) -> !this.down.contains(vm.name())).toList();
 	}
 
-	/** A VM. */
+	/** A simulated VM. */
 	final class Vm {
 
 		private final VmRecord record;
@@ -157,11 +159,11 @@
 
 		private boolean started;
 
-		private boolean recordsKnown;
+		private boolean recordsLoaded;
 
-		private long known;
+		private long version;
 
-		private long answeredFromMs;
+		private long repliesFromMs;
 
 		private long reviewedMs = -REVIEW_MS;
 
@@ -176,14 +178,14 @@
 			return this.record.vm();
 		}
 
-		private boolean answered() {
-			return !StoreReaderSimulation.this.cut.contains(name());
+		private boolean isStoreReachable() {
+			return !StoreReaderSimulation.this.storeUnreachable.contains(name());
 		}
 
-		private void step() {
+		private void advance() {
 			long now = StoreReaderSimulation.this.nowMs;
 			start(now);
-			learnRecords();
+			updateRecords();
 			if (now - this.reviewedMs >= REVIEW_MS) {
 				this.reviewedMs = now;
 				review(now);
@@ -191,8 +193,8 @@
 			if (this.chooser.isReadingStore()) {
 				read(now);
 			}
-			beat(now);
-			hear();
+			sendHeartbeats(now);
+			receiveUpdates();
 		}
 
 		private void start(long now) {
@@ -200,38 +202,39 @@
 				this.started = true;
 				this.chooser.start(now);
 				StoreReaderSimulation.this.calls += RECORD_CALLS;
-				if (answered()) {
+				if (isStoreReachable()) {
 					StoreReaderSimulation.this.stored.put(name(), this.record);
 					this.chooser.onRecordWritten(now);
-					this.recordsKnown = true;
+					this.recordsLoaded = true;
 				}
 			}
 		}
 
-		// The first list is read when the record is written; others follow from the
+		// The first list is read when the record is written; later ones come from the
 		// source.
-		private void learnRecords() {
-			if (this.recordsKnown && this.table.recordCount() < StoreReaderSimulation.this.stored.size()) {
+		private void updateRecords() {
+			if (this.recordsLoaded && this.table.recordCount() < StoreReaderSimulation.this.stored.size()) {
 				this.table.updateRecords(StoreReaderSimulation.this.stored.values());
 			}
 		}
 
 		private void review(long now) {
-			this.chooser.setHasSubscribers(followers() > 0);
+			this.chooser.setHasSubscribers(subscriberCount() > 0);
 			this.table.setWatchedRoles(this.chooser.watchedRoles(this.table, now));
-			StoreSourceChooser.Action step = this.chooser.review(this.table, this.known > 0, this.recordsKnown, now);
-			if (step == StoreSourceChooser.Action.PROBE) {
-				ask(now);
+			StoreSourceChooser.Action action = this.chooser.review(this.table, this.version > 0, this.recordsLoaded,
+					now);
+			if (action == StoreSourceChooser.Action.PROBE) {
+				probe(now);
 			}
-			if (step == StoreSourceChooser.Action.READ_STORE) {
-				StoreReaderSimulation.this.calls += BEGIN_CALLS;
-				this.answeredFromMs = now + FIRST_ANSWER_MS;
+			if (action == StoreSourceChooser.Action.READ_STORE) {
+				StoreReaderSimulation.this.calls += INITIAL_READ_CALLS;
+				this.repliesFromMs = now + FIRST_REPLY_MS;
 			}
 		}
 
-		private void ask(long now) {
-			StoreReaderSimulation.this.calls += ASK_CALLS;
-			if (answered()) {
+		private void probe(long now) {
+			StoreReaderSimulation.this.calls += PROBE_CALLS;
+			if (isStoreReachable()) {
 				this.chooser.onProbeSuccess(now);
 				review(now);
 			}
@@ -242,37 +245,37 @@
 
 		private void read(long now) {
 			StoreReaderSimulation.this.calls += READ_CALLS_PER_S * STEP_MS / 1_000;
-			if (answered() && now >= this.answeredFromMs) {
+			if (isStoreReachable() && now >= this.repliesFromMs) {
 				this.chooser.onStoreRead(now);
-				this.known = StoreReaderSimulation.this.version;
-				this.recordsKnown = true;
+				this.version = StoreReaderSimulation.this.version;
+				this.recordsLoaded = true;
 			}
 		}
 
-		private void beat(long now) {
+		private void sendHeartbeats(long now) {
 			this.table.detectFailures(now);
-			for (VmRecord asked : this.table.dueHeartbeats(now)) {
-				Vm other = StoreReaderSimulation.this.vms.get(asked.vm());
-				boolean hears = other.started && !StoreReaderSimulation.this.down.contains(asked.vm());
-				if (hears) {
-					this.table.onAnswer(asked.vm(), other.startMs + 1, false, now);
-					boolean passesOn = other.chooser.canRelay(now);
-					this.chooser.onAnswer(asked.vm(), passesOn, passesOn ? other.chooser.storeAgeMs(now) : 0, now);
+			for (VmRecord requested : this.table.dueHeartbeats(now)) {
+				Vm other = StoreReaderSimulation.this.vms.get(requested.vm());
+				boolean reachable = other.started && !StoreReaderSimulation.this.down.contains(requested.vm());
+				if (reachable) {
+					this.table.onAnswer(requested.vm(), other.startMs + 1, false, now);
+					boolean canRelay = other.chooser.canRelay(now);
+					this.chooser.onAnswer(requested.vm(), canRelay, canRelay ? other.chooser.storeAgeMs(now) : 0, now);
 				}
 			}
 		}
 
-		// What the source knows comes with its next message.
-		private void hear() {
+		// The version of the source arrives with its next message.
+		private void receiveUpdates() {
 			String source = this.chooser.isReadingStore() ? ""
 					: this.chooser.preferredSource(this.table, StoreReaderSimulation.this.nowMs);
 			Vm other = StoreReaderSimulation.this.vms.get(source);
 			if (other != null && !other.name().equals(name()) && !StoreReaderSimulation.this.down.contains(source)) {
-				this.known = Math.max(this.known, other.known);
+				this.version = Math.max(this.version, other.version);
 			}
 		}
 
-		long followers() {
+		long subscriberCount() {
 			return StoreReaderSimulation.this.vms.values()
 				.stream()
 				.filter((vm) -> !vm.chooser.isReadingStore() && vm.chooser.source().equals(name()))
--- a/core/src/test/java/org/tallycart/core/fleet/StoreSourceChooserTests.java
+++ b/core/src/test/java/org/tallycart/core/fleet/StoreSourceChooserTests.java
@@ -13,13 +13,13 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for {@link StoreSourceChooser}: whole fleets in virtual time, and what they ask
- * of the store.
+ * Tests for {@link StoreSourceChooser}: simulated fleets, and the number of their store
+ * calls.
  */
 public class StoreSourceChooserTests {
 
-	/** A change has to be in force by then, in milliseconds. */
-	private static final long IN_FORCE_MS = 2_000;
+	/** Maximum time until a change is active at all VMs, in milliseconds. */
+	private static final long MAX_ACTIVATION_MS = 2_000;
 
 	private static final int VMS = 95;
 
@@ -38,65 +38,67 @@
 	}
 
 	@Test(dataProvider = "sizes")
-	void oneVmReadsForAllWhateverTheSize(int vms, int domains) {
+	void oneVmReadsForAllAtAnyFleetSize(int vms, int domains) {
 		StoreReaderSimulation fleet = settled(vms, domains, 1);
-		assertEquals(fleet.reading(), 1);
+		assertEquals(fleet.readerCount(), 1);
 		fleet.run(60_000);
 		assertTrue(fleet.takeCalls() <= 150, "calls of the store in a minute do not grow with the fleet");
 		fleet.change();
-		assertTrue(fleet.msUntilAllKnow(IN_FORCE_MS) <= 3 * StoreReaderSimulation.STEP_MS);
+		assertTrue(fleet.msUntilAllUpdated(MAX_ACTIVATION_MS) <= 3 * StoreReaderSimulation.STEP_MS);
 	}
 
 	/**
-	 * All VMs start at once, the store's rate is not theirs alone, and their callers
-	 * wait.
+	 * All VMs start at once while callers wait and other clients share the store's rate
+	 * limit.
 	 */
 	@Test(dataProvider = "sizes")
-	void aStartOfAllDoesNotSendAllToTheStore(int vms, int domains) {
+	void aStartOfAllVmsLimitsStoreCalls(int vms, int domains) {
 		StoreReaderSimulation fleet = new StoreReaderSimulation(vms, domains, 1);
 		fleet.run(8_000);
 		checkStart(fleet, vms, domains);
 		fleet.restartAll();
-		assertTrue(fleet.msUntilAllKnow(IN_FORCE_MS) <= 1_000, "known after a loss of all");
+		assertTrue(fleet.msUntilAllUpdated(MAX_ACTIVATION_MS) <= 1_000, "known after a loss of all");
 		fleet.run(8_000);
 		checkStart(fleet, vms, domains);
 	}
 
 	private static void checkStart(StoreReaderSimulation fleet, int vms, int domains) {
 		double calls = fleet.takeCalls();
-		double most = 2 * vms + 40 * domains;
-		assertTrue(calls <= most, calls + " calls, for " + most + " at most");
-		assertEquals(fleet.reading(), 1);
+		double maxCalls = 2 * vms + 40 * domains;
+		assertTrue(calls <= maxCalls, calls + " calls, for " + maxCalls + " at most");
+		assertEquals(fleet.readerCount(), 1);
 	}
 
-	// What is lost, and how many VMs read the store while it stays so: the relays while
-	// the reader is cut off, and the VMs of a failure domain whose relay is cut off too.
+	// The failure, and the maximum number of store readers while it lasts: the relays
+	// read if the reader has no store, and all VMs of a failure domain whose relay has
+	// none either.
 	@DataProvider
-	Object[][] losses() {
-		return new Object[][] { row((fleet) -> fleet.cut.add(fleet.reader()), 1 + DOMAINS),
+	Object[][] failures() {
+		return new Object[][] { row((fleet) -> fleet.storeUnreachable.add(fleet.reader()), 1 + DOMAINS),
 				row((fleet) -> fleet.down.add(fleet.reader()), 1), row((fleet) -> fleet.down.add(fleet.relay()), 1),
-				row((fleet) -> fleet.cut.add(fleet.relay()), 1),
+				row((fleet) -> fleet.storeUnreachable.add(fleet.relay()), 1),
 				row((fleet) -> fleet.down.addAll(List.of(fleet.reader(), fleet.relay())), 1),
-				row((fleet) -> fleet.cut.addAll(List.of(fleet.reader(), fleet.relay())), 1 + DOMAINS + VMS / DOMAINS) };
+				row((fleet) -> fleet.storeUnreachable.addAll(List.of(fleet.reader(), fleet.relay())),
+						1 + DOMAINS + VMS / DOMAINS) };
 	}
 
-	private static Object[] row(Consumer<StoreReaderSimulation> fault, int mostReading) {
-		return new Object[] { fault, mostReading };
+	private static Object[] row(Consumer<StoreReaderSimulation> fault, int maxReaders) {
+		return new Object[] { fault, maxReaders };
 	}
 
-	@Test(dataProvider = "losses")
-	void aChangeIsInForceInTimeWhoeverIsLostWithoutANotice(Consumer<StoreReaderSimulation> fault, int mostReading) {
+	@Test(dataProvider = "failures")
+	void aChangeIsActiveInTimeAfterAFailureWithoutNotice(Consumer<StoreReaderSimulation> fault, int maxReaders) {
 		StoreReaderSimulation fleet = settled(VMS, DOMAINS, 1);
 		fault.accept(fleet);
 		fleet.change();
-		long ms = fleet.msUntilAllKnow(10_000);
-		assertTrue(ms <= IN_FORCE_MS, ms + " ms");
+		long ms = fleet.msUntilAllUpdated(10_000);
+		assertTrue(ms <= MAX_ACTIVATION_MS, ms + " ms");
 		fleet.run(10_000);
-		assertTrue(fleet.reading() <= mostReading, fleet.reading() + " VMs read the store");
+		assertTrue(fleet.readerCount() <= maxReaders, fleet.readerCount() + " VMs read the store");
 	}
 
 	@Test
-	void aLostReaderDoesNotSendAllToTheStore() {
+	void aFailedReaderLimitsStoreCalls() {
 		StoreReaderSimulation fleet = settled(VMS, DOMAINS, 1);
 		fleet.down.add(fleet.reader());
 		fleet.run(5_000);
@@ -105,43 +107,43 @@
 	}
 
 	/**
-	 * Pattern: the store is away for six seconds and then answers again, with a change.
+	 * The store is unavailable for six seconds and then returns with a change.
 	 */
 	@Test(dataProvider = "sizes")
-	void anOutageSendsNobodyButTheReaderToTheStore(int vms, int domains) {
+	void anOutageLimitsStoreCalls(int vms, int domains) {
 		StoreReaderSimulation fleet = settled(vms, domains, 1);
-		fleet.cut.addAll(fleet.vms.keySet());
+		fleet.storeUnreachable.addAll(fleet.vms.keySet());
 		fleet.run(6_000);
 		double calls = fleet.takeCalls();
-		double most = 20 + 2 * vms;
-		assertTrue(calls <= most, calls + " calls, for " + most + " at most");
+		double maxCalls = 20 + 2 * vms;
+		assertTrue(calls <= maxCalls, calls + " calls, for " + maxCalls + " at most");
 		fleet.change();
-		fleet.cut.clear();
-		assertTrue(fleet.msUntilAllKnow(IN_FORCE_MS) <= 1_000, "after its return");
+		fleet.storeUnreachable.clear();
+		assertTrue(fleet.msUntilAllUpdated(MAX_ACTIVATION_MS) <= 1_000, "after its return");
 		fleet.run(5_000);
-		assertEquals(fleet.reading(), 1);
+		assertEquals(fleet.readerCount(), 1);
 		double after = fleet.takeCalls();
 		assertTrue(after <= 60 + 10 * domains, after + " calls after its return");
 	}
 
-	/** Pattern: the reader is lost while the store is away. */
+	/** The reader fails during an outage of the store. */
 	@Test
-	void aReaderThatIsLostInAnOutageIsReplacedWhenTheStoreIsBack() {
+	void aReaderThatFailsInAnOutageIsReplacedAfterIt() {
 		StoreReaderSimulation fleet = settled(VMS, DOMAINS, 1);
-		fleet.cut.addAll(fleet.vms.keySet());
+		fleet.storeUnreachable.addAll(fleet.vms.keySet());
 		fleet.run(2_000);
 		fleet.down.add(fleet.reader());
 		fleet.run(2_000);
 		fleet.change();
-		fleet.cut.clear();
-		assertTrue(fleet.msUntilAllKnow(IN_FORCE_MS) <= IN_FORCE_MS);
+		fleet.storeUnreachable.clear();
+		assertTrue(fleet.msUntilAllUpdated(MAX_ACTIVATION_MS) <= MAX_ACTIVATION_MS);
 	}
 
 	/**
-	 * As in a rolling restart, in which each VM stops before its callers have noticed.
+	 * In a rolling restart, each VM stops before its callers have noticed.
 	 */
 	@Test
-	void aReaderThatComesBackDoesNotSendTheOthersToTheStore() {
+	void aRecoveredReaderLimitsStoreCalls() {
 		StoreReaderSimulation fleet = settled(VMS, DOMAINS, 1);
 		String reader = fleet.reader();
 		fleet.down.add(reader);
@@ -155,22 +157,22 @@
 		assertTrue(calls <= 30, calls + " calls");
 	}
 
-	/** The store turns some VMs away and serves the others, and changes go on. */
+	/** The store rejects some VMs and serves the others, while changes go on. */
 	@Test(dataProvider = "seeds")
-	void whateverIsLostAllKnowInTheEndAndOneReads(long seed) {
+	void afterRandomFailuresAllAreUpdatedAndOneVmReads(long seed) {
 		Random random = new Random(seed);
 		StoreReaderSimulation fleet = settled(4 + random.nextInt(40), 1 + random.nextInt(4), seed);
 		for (int round = 0; round < 10; round++) {
 			toggle(fleet.down, "vm-" + random.nextInt(fleet.vms.size()));
-			toggle(fleet.cut, "vm-" + random.nextInt(fleet.vms.size()));
+			toggle(fleet.storeUnreachable, "vm-" + random.nextInt(fleet.vms.size()));
 			fleet.run(random.nextInt(3_000));
 			fleet.change();
 		}
-		fleet.cut.clear();
+		fleet.storeUnreachable.clear();
 		fleet.down.clear();
-		assertTrue(fleet.msUntilAllKnow(6_000) <= 6_000, "seed " + seed);
+		assertTrue(fleet.msUntilAllUpdated(6_000) <= 6_000, "seed " + seed);
 		fleet.run(10_000);
-		assertEquals(fleet.reading(), 1, "seed " + seed);
+		assertEquals(fleet.readerCount(), 1, "seed " + seed);
 	}
 
 	private static void toggle(Set<String> set, String vm) {
