--- a/core/src/main/java/org/tallycart/core/limit/Permit.java
+++ b/core/src/main/java/org/tallycart/core/limit/Permit.java
@@ -1,30 +1,31 @@
 package org.tallycart.core.limit;
 
 /**
- * Whether a request may be sent to an upstream that has named a limit.
+ * The decision on a request to an upstream that has stated a limit.
  *
- * @param granted whether it may
- * @param waitMs when it may be sent, or when to ask again, in milliseconds from now
+ * @param granted whether the request may be sent
+ * @param waitMs the delay until it may be sent, or until a new attempt after a denial, in
+ * milliseconds
  * @since 0.1
  */
 public record Permit(boolean granted, long waitMs) {
 
-	/** The answer where the upstream has no limit. */
+	/** The decision for an upstream without a limit. */
 	public static final Permit UNLIMITED = new Permit(true, 0);
 
 	/**
-	 * Return a permit.
-	 * @param waitMs when the request may be sent, in milliseconds from now
-	 * @return the answer
+	 * Return a grant.
+	 * @param waitMs the delay until the request may be sent, in milliseconds
+	 * @return the decision
 	 */
 	public static Permit granted(long waitMs) {
 		return new Permit(true, waitMs);
 	}
 
 	/**
-	 * Return a refusal.
-	 * @param waitMs when to ask again, in milliseconds from now
-	 * @return the answer
+	 * Return a denial.
+	 * @param waitMs the delay until a new attempt, in milliseconds
+	 * @return the decision
 	 */
 	public static Permit denied(long waitMs) {
 		return new Permit(false, waitMs);
--- a/core/src/main/java/org/tallycart/core/limit/ShareAllocator.java
+++ b/core/src/main/java/org/tallycart/core/limit/ShareAllocator.java
@@ -6,78 +6,89 @@
 import org.tallycart.core.outcome.InvariantViolation;
 
 /**
- * Divides one workspace's limit among VMs by demand. One steward, chosen by rendezvous
- * hash, is the home of a workspace.
+ * Allocates one workspace's limit to VMs by demand. One steward, chosen by rendezvous
+ * hash, is the allocator of a workspace.
  * <p>
- * A part of the limit is never granted: it is what VMs that hear nothing may use. A new
- * home grants nothing until grants of an earlier home have lapsed. Invariant: unlapsed
- * grants never add up to more than the grantable part. Not thread-safe.
+ * A fraction of the limit is never granted but reserved for VMs without a grant. A new
+ * allocator grants nothing until the grants of its predecessor have expired. Invariant:
+ * the sum of unexpired grants never exceeds the grantable part of the limit. Not
+ * thread-safe.
  *
  * @since 0.1
  */
 public final class ShareAllocator {
 
-	/** Part of a limit that is set aside for VMs that hear nothing. */
-	public static final double SAFE_PART = 0.2;
+	/** Fraction of a limit that is reserved for VMs without a grant. */
+	public static final double RESERVED_FRACTION = 0.2;
 
-	/** How long a grant lasts, by the clock of the VM that asked, from when it asked. */
-	public static final long GRANT_MS = 3_000;
+	/**
+	 * Duration of a grant from the time of its request, by the requesting VM's clock, in
+	 * milliseconds.
+	 */
+	public static final long GRANT_DURATION_MS = 3_000;
 
-	/** Added by the home, which hears the request later than it was sent. */
+	/**
+	 * Margin that the allocator adds to the duration, since it receives a request later
+	 * than it was sent, in milliseconds.
+	 */
 	public static final long GRANT_MARGIN_MS = 1_000;
 
 	private static final double TOLERANCE = 1e-6;
 
-	/** Grants go beyond the demand reported, so that it can be seen to rise. */
-	static final double HEADROOM = 1.25;
+	/**
+	 * Factor by which a grant may exceed the reported demand, so that rising demand is
+	 * detected.
+	 */
+	static final double HEADROOM_FACTOR = 1.25;
 
-	private final long grantsFromMs;
+	private final long firstGrantMs;
 
 	private final Map<String, Grant> grants = new HashMap<>();
 
-	private ShareAllocator(long grantsFromMs) {
-		this.grantsFromMs = grantsFromMs;
+	private ShareAllocator(long firstGrantMs) {
+		this.firstGrantMs = firstGrantMs;
 	}
 
 	/**
-	 * Become the home of a workspace.
-	 * @param nowMs the monotonic clock now
-	 * @return the home
+	 * Create the allocator of a workspace.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the allocator
 	 */
 	public static ShareAllocator create(long nowMs) {
-		return new ShareAllocator(nowMs + GRANT_MS + GRANT_MARGIN_MS);
+		return new ShareAllocator(nowMs + GRANT_DURATION_MS + GRANT_MARGIN_MS);
 	}
 
 	/**
-	 * Answer a VM.
-	 * @param request what the VM asks
-	 * @param limit the workspace's limit over all VMs
-	 * @param nowMs the monotonic clock now
-	 * @return the rate the VM may use beside its safe share
+	 * Allocate a share of the limit to a VM.
+	 * @param request the request of the VM
+	 * @param limit the workspace's limit over all VMs, in requests per second
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the rate that the VM may use in addition to its part of the reserved
+	 * fraction, in requests per second
 	 */
 	public double allocate(ShareRequest request, double limit, long nowMs) {
-		double grantable = limit * (1 - SAFE_PART);
-		if (nowMs < this.grantsFromMs) {
+		double grantable = limit * (1 - RESERVED_FRACTION);
+		if (nowMs < this.firstGrantMs) {
 			return 0;
 		}
-		this.grants.values().removeIf((grant) -> grant.untilMs <= nowMs);
+		this.grants.values().removeIf((grant) -> grant.expiresMs <= nowMs);
 		this.grants.remove(request.vm());
 		double others = this.grants.values().stream().mapToDouble(Grant::counted).sum();
 		double demandOfOthers = this.grants.values().stream().mapToDouble(Grant::demand).sum();
 		double demand = request.demandPerSecond();
-		double fair = (demand + demandOfOthers > 0) ? grantable * demand / (demand + demandOfOthers) : 0;
-		double wanted = Math.min(Math.max(fair, grantable - others), demand * HEADROOM);
+		double fairShare = (demand + demandOfOthers > 0) ? grantable * demand / (demand + demandOfOthers) : 0;
+		double wanted = Math.min(Math.max(fairShare, grantable - others), demand * HEADROOM_FACTOR);
 		double rate = Math.max(Math.min(wanted, grantable - others), 0);
-		// The answer can be lost, and then the VM goes on with what it holds.
+		// The reply can be lost; the VM then continues to use its current grant.
 		double counted = Math.max(rate, request.holdsPerSecond());
-		this.grants.put(request.vm(), new Grant(counted, demand, nowMs + GRANT_MS + GRANT_MARGIN_MS));
+		this.grants.put(request.vm(), new Grant(counted, demand, nowMs + GRANT_DURATION_MS + GRANT_MARGIN_MS));
 		InvariantViolation.check(others + rate <= grantable + TOLERANCE || rate == 0,
 				request.workspace() + ": grants exceed the limit");
 		return rate;
 	}
 
-	/** An unlapsed grant. */
-	private record Grant(double counted, double demand, long untilMs) {
+	/** An unexpired grant; rates are in requests per second. */
+	private record Grant(double counted, double demand, long expiresMs) {
 	}
 
 }
--- a/core/src/main/java/org/tallycart/core/limit/ShareLimiter.java
+++ b/core/src/main/java/org/tallycart/core/limit/ShareLimiter.java
@@ -1,104 +1,108 @@
 package org.tallycart.core.limit;
 
 /**
- * One VM's share of one workspace's limit.
+ * Limits the requests of one workspace at one VM, by the VM's share of the workspace's
+ * limit.
  * <p>
- * Invariant: without an unlapsed grant the VM uses its safe share only, so that all VMs
- * together stay within the limit although none hears of the others. Not thread-safe.
+ * Invariant: without a valid grant the VM uses only its part of the reserved fraction, so
+ * all VMs together stay within the limit without communication. Not thread-safe.
  *
  * @since 0.1
  */
 public final class ShareLimiter {
 
+	/** Maximum burst, in seconds of the current rate. */
 	private static final double BURST_SECONDS = 0.5;
 
-	private static final double DEMAND_WEIGHT = 0.5;
+	/** Weight of the latest window when the demand falls. */
+	private static final double DEMAND_SMOOTHING = 0.5;
 
-	private static final double MILLIS = 1000;
+	private static final double MILLIS_PER_SECOND = 1000;
 
 	private final TokenBucket bucket;
 
-	private double granted;
+	private double grantedPerSecond;
 
-	private long grantedUntilMs;
+	private long grantExpiresMs;
 
-	private double demand;
+	private double demandPerSecond;
 
 	private int arrivals;
 
-	private long countedFromMs;
+	private long windowStartMs;
 
-	private long askedMs = Long.MIN_VALUE;
+	private long lastRequestMs = Long.MIN_VALUE;
 
 	private ShareLimiter(long nowMs) {
 		this.bucket = TokenBucket.create(0, 1, nowMs);
-		this.countedFromMs = nowMs;
+		this.windowStartMs = nowMs;
 	}
 
 	/**
-	 * Create a holder with no grant.
-	 * @param nowMs the monotonic clock now
-	 * @return the holder
+	 * Create a limiter without a grant.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the limiter
 	 */
 	public static ShareLimiter create(long nowMs) {
 		return new ShareLimiter(nowMs);
 	}
 
 	/**
-	 * Ask to let a request in.
-	 * @param limit the workspace's limit over all VMs
-	 * @param vmCount how many VMs share it
-	 * @param nowMs the monotonic clock now
-	 * @return whether it may enter
+	 * Admit a request, if this VM's share allows it.
+	 * @param limit the workspace's limit over all VMs, in requests per second
+	 * @param vmCount the number of VMs that share the limit
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return true if the request is admitted
 	 */
 	public boolean tryAcquire(double limit, int vmCount, long nowMs) {
 		this.arrivals++;
-		double safe = limit * ShareAllocator.SAFE_PART / Math.max(vmCount, 1);
-		double rate = safe + ((nowMs < this.grantedUntilMs) ? this.granted : 0);
-		this.bucket.change(rate, Math.max(rate * BURST_SECONDS, 1), nowMs);
+		double reserved = limit * ShareAllocator.RESERVED_FRACTION / Math.max(vmCount, 1);
+		double rate = reserved + ((nowMs < this.grantExpiresMs) ? this.grantedPerSecond : 0);
+		this.bucket.setRate(rate, Math.max(rate * BURST_SECONDS, 1), nowMs);
 		return this.bucket.tryTake(nowMs);
 	}
 
 	/**
-	 * Return when to come back after a refusal.
-	 * @return milliseconds
+	 * Return the delay after which a rejected request should be retried.
+	 * @return the delay in milliseconds, at least 1
 	 */
 	public long retryAfterMs() {
 		return Math.max(this.bucket.waitMs(), 1);
 	}
 
 	/**
-	 * Close the present count of arrivals and make what to ask the home. What the demand
-	 * does not need of the present grant is given back with it. An answer to an earlier
-	 * request counts for nothing from now on.
-	 * @param workspace the workspace
-	 * @param vm this VM
-	 * @param nowMs the monotonic clock now
-	 * @return what to ask
+	 * Create the next request to the allocator, from the demand since the last one. The
+	 * part of the current grant that exceeds the demand is released. Replies to earlier
+	 * requests are ignored from now on.
+	 * @param workspace the name of the workspace
+	 * @param vm the name of this VM
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return the request
 	 */
 	public ShareRequest createRequest(String workspace, String vm, long nowMs) {
-		long elapsed = nowMs - this.countedFromMs;
-		if (elapsed > 0) {
-			double latest = this.arrivals * MILLIS / elapsed;
-			this.demand = Math.max(latest, this.demand + DEMAND_WEIGHT * (latest - this.demand));
+		long elapsedMs = nowMs - this.windowStartMs;
+		if (elapsedMs > 0) {
+			double latest = this.arrivals * MILLIS_PER_SECOND / elapsedMs;
+			this.demandPerSecond = Math.max(latest,
+					this.demandPerSecond + DEMAND_SMOOTHING * (latest - this.demandPerSecond));
 			this.arrivals = 0;
-			this.countedFromMs = nowMs;
+			this.windowStartMs = nowMs;
 		}
-		this.askedMs = nowMs;
-		this.granted = (nowMs < this.grantedUntilMs) ? Math.min(this.granted, this.demand * ShareAllocator.HEADROOM)
-				: 0;
-		return new ShareRequest(workspace, vm, this.demand, this.granted);
+		this.lastRequestMs = nowMs;
+		this.grantedPerSecond = (nowMs < this.grantExpiresMs)
+				? Math.min(this.grantedPerSecond, this.demandPerSecond * ShareAllocator.HEADROOM_FACTOR) : 0;
+		return new ShareRequest(workspace, vm, this.demandPerSecond, this.grantedPerSecond);
 	}
 
 	/**
-	 * Record a grant.
-	 * @param rate the rate
-	 * @param answersMs when this VM asked for it, by its monotonic clock
+	 * Record a grant, unless a later request was created.
+	 * @param rate the granted rate, in requests per second
+	 * @param requestedAtMs the monotonic time of the request, in milliseconds
 	 */
-	public void onGrant(double rate, long answersMs) {
-		if (answersMs == this.askedMs) {
-			this.granted = rate;
-			this.grantedUntilMs = answersMs + ShareAllocator.GRANT_MS;
+	public void onGrant(double rate, long requestedAtMs) {
+		if (requestedAtMs == this.lastRequestMs) {
+			this.grantedPerSecond = rate;
+			this.grantExpiresMs = requestedAtMs + ShareAllocator.GRANT_DURATION_MS;
 		}
 	}
 
--- a/core/src/main/java/org/tallycart/core/limit/ShareRequest.java
+++ b/core/src/main/java/org/tallycart/core/limit/ShareRequest.java
@@ -1,12 +1,13 @@
 package org.tallycart.core.limit;
 
 /**
- * What a VM tells the home of a workspace's limit.
+ * A VM's request to the allocator of a workspace's limit.
  *
- * @param workspace the workspace
- * @param vm the VM
- * @param demandPerSecond requests a second it has seen, let in or not
- * @param holdsPerSecond of its grant, what it keeps using until it hears an answer
+ * @param workspace the name of the workspace
+ * @param vm the name of the VM
+ * @param demandPerSecond the requests per second that the VM receives, admitted or not
+ * @param holdsPerSecond the part of its current grant that the VM uses until a reply
+ * arrives, in requests per second
  * @since 0.1
  */
 public record ShareRequest(String workspace, String vm, double demandPerSecond, double holdsPerSecond) {
--- a/core/src/main/java/org/tallycart/core/limit/StatedLimits.java
+++ b/core/src/main/java/org/tallycart/core/limit/StatedLimits.java
@@ -9,136 +9,138 @@
 import org.tallycart.core.time.HybridTimestamp;
 
 /**
- * The limits that upstreams have named, as one VM knows them.
+ * The rate limits that upstreams have stated, as received by one VM.
  * <p>
- * Invariant: of two statements of an incarnation the later one holds, whoever heard it.
- * They are ordered by a hybrid logical clock: by the time that a message takes, an age
- * would make an old statement look newer than the one that has replaced it, and two VMs
- * would tell each other so for ever. Not thread-safe: belongs to one event loop.
+ * Invariant: of two statements of an incarnation the later one applies, whichever VM
+ * received it. Statements are ordered by a hybrid logical clock. An order by age would
+ * depend on message delays, so that VMs could replace a statement by an older one and
+ * exchange the two indefinitely. Not thread-safe: belongs to one event loop.
  *
  * @since 0.1
  */
 public final class StatedLimits {
 
 	/**
-	 * A limit that differs by less than this share from the one told last is no news: the
-	 * tolerance that the platform grants is five times as large.
+	 * Minimum change of a limit that is published, as a fraction of the limit published
+	 * last; well within the platform's tolerance.
 	 */
-	private static final double NEWS_SHARE = 0.1;
+	private static final double CHANGE_THRESHOLD = 0.1;
 
 	/**
-	 * How long it is remembered that an upstream has taken its limit back, in
-	 * milliseconds: news of the limit may be on its way so long.
+	 * Time for which a withdrawn limit is kept, in milliseconds, since older statements
+	 * of it may still be in transit.
 	 */
-	private static final long LIFTED_MS = 30_000;
+	private static final long RETENTION_MS = 30_000;
 
 	private final Map<String, TrackedLimit> limits = new HashMap<>();
 
 	/**
-	 * Take what was said of an upstream's limit.
-	 * @param incarnation the upstream
-	 * @param perSecond requests a second; empty if it names no limit
-	 * @param said when that was heard from the upstream, by whichever VM heard it
-	 * @param nowMs the steady clock
-	 * @return whether others should hear of it
+	 * Merge a statement, unless it is older than the current one.
+	 * @param incarnation the upstream's incarnation
+	 * @param perSecond the limit in requests per second; empty if there is none
+	 * @param statedAt the time at which a VM received the statement from the upstream
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return true if the change should be published to other VMs
 	 */
-	public boolean merge(String incarnation, OptionalDouble perSecond, HybridTimestamp said, long nowMs) {
-		TrackedLimit known = this.limits.get(incarnation);
-		if ((known == null && perSecond.isEmpty()) || (known != null && known.named.statedAt.compareTo(said) >= 0)) {
+	public boolean merge(String incarnation, OptionalDouble perSecond, HybridTimestamp statedAt, long nowMs) {
+		TrackedLimit current = this.limits.get(incarnation);
+		if ((current == null && perSecond.isEmpty())
+				|| (current != null && current.statement.statedAt.compareTo(statedAt) >= 0)) {
 			return false;
 		}
-		OptionalDouble told = (known != null) ? known.told : OptionalDouble.empty();
-		boolean news = news(told, perSecond);
+		OptionalDouble published = (current != null) ? current.published : OptionalDouble.empty();
+		boolean isChange = isChange(published, perSecond);
 		this.limits.put(incarnation,
-				new TrackedLimit(new LimitStatement(perSecond, said), news ? perSecond : told, nowMs));
-		return news;
+				new TrackedLimit(new LimitStatement(perSecond, statedAt), isChange ? perSecond : published, nowMs));
+		return isChange;
 	}
 
-	private static boolean news(OptionalDouble before, OptionalDouble perSecond) {
+	private static boolean isChange(OptionalDouble before, OptionalDouble perSecond) {
 		if (before.isEmpty() || perSecond.isEmpty()) {
 			return before.isPresent() != perSecond.isPresent();
 		}
-		return Math.abs(before.getAsDouble() - perSecond.getAsDouble()) > NEWS_SHARE * before.getAsDouble();
+		return Math.abs(before.getAsDouble() - perSecond.getAsDouble()) > CHANGE_THRESHOLD * before.getAsDouble();
 	}
 
 	/**
-	 * Return an upstream's limit.
-	 * @param incarnation the upstream
-	 * @return requests a second; empty if it has named none, or taken it back
+	 * Return the limit of an upstream.
+	 * @param incarnation the upstream's incarnation
+	 * @return the limit in requests per second; empty if it has stated none, or withdrawn
+	 * it
 	 */
 	public OptionalDouble perSecond(String incarnation) {
 		return latest(incarnation).perSecond;
 	}
 
 	/**
-	 * Return what is known of an upstream.
-	 * @param incarnation the upstream
-	 * @return what it has said last
+	 * Return the latest statement of an upstream.
+	 * @param incarnation the upstream's incarnation
+	 * @return the statement; {@link LimitStatement#NONE} if there is none
 	 */
 	public LimitStatement latest(String incarnation) {
-		TrackedLimit known = this.limits.get(incarnation);
-		return (known != null) ? known.named : LimitStatement.NOTHING;
+		TrackedLimit current = this.limits.get(incarnation);
+		return (current != null) ? current.statement : LimitStatement.NONE;
 	}
 
 	/**
-	 * Return whether nothing is known of any limit, also of none that was taken back.
-	 * @return true if so
+	 * Return whether there is no statement, including withdrawn limits.
+	 * @return true if there is none
 	 */
 	public boolean isEmpty() {
 		return this.limits.isEmpty();
 	}
 
 	/**
-	 * Return all that is known.
-	 * @return what each upstream has said last, by its incarnation
+	 * Return the latest statements of all upstreams.
+	 * @return the statements by incarnation
 	 */
 	public Map<String, LimitStatement> snapshot() {
 		return this.limits.entrySet()
 			.stream()
-			.collect(Collectors.toUnmodifiableMap(Map.Entry::getKey, (entry) -> entry.getValue().named));
+			.collect(Collectors.toUnmodifiableMap(Map.Entry::getKey, (entry) -> entry.getValue().statement));
 	}
 
 	/**
-	 * Return how many upstreams have a limit.
+	 * Return the number of upstreams with a limit.
 	 * @return the count
 	 */
 	public long count() {
-		return this.limits.values().stream().filter((known) -> known.named.perSecond.isPresent()).count();
+		return this.limits.values().stream().filter((current) -> current.statement.perSecond.isPresent()).count();
 	}
 
 	/**
-	 * Drop what is of no use any more.
-	 * @param listed tells whether an incarnation still exists
-	 * @param nowMs the steady clock
+	 * Drop statements that are withdrawn, or whose upstreams no longer exist.
+	 * @param listed tests whether an incarnation still exists
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
 	public void expire(Predicate<String> listed, long nowMs) {
 		this.limits.entrySet().removeIf((entry) -> {
-			TrackedLimit known = entry.getValue();
-			boolean old = nowMs - known.learnedMs > LIFTED_MS;
-			return old && (known.named.perSecond.isEmpty() || !listed.test(entry.getKey()));
+			TrackedLimit current = entry.getValue();
+			boolean expired = nowMs - current.updatedMs > RETENTION_MS;
+			return expired && (current.statement.perSecond.isEmpty() || !listed.test(entry.getKey()));
 		});
 	}
 
 	/**
-	 * What is known of one upstream.
+	 * The state of one upstream's limit.
 	 *
-	 * @param named what it has said last
-	 * @param told the limit that others were told last; empty if none
-	 * @param learnedMs when this VM learned what it said last
+	 * @param statement the latest statement
+	 * @param published the limit that was last published to other VMs; empty if none
+	 * @param updatedMs the monotonic time of the latest update, in milliseconds
 	 */
-	private record TrackedLimit(LimitStatement named, OptionalDouble told, long learnedMs) {
+	private record TrackedLimit(LimitStatement statement, OptionalDouble published, long updatedMs) {
 	}
 
 	/**
-	 * What an upstream has said last.
+	 * A statement of an upstream about its limit.
 	 *
-	 * @param perSecond requests a second; empty if it has taken its limit back
-	 * @param statedAt when that was heard from the upstream, by whichever VM heard it
+	 * @param perSecond the limit in requests per second; empty if it is withdrawn
+	 * @param statedAt the time at which a VM received the statement from the upstream
 	 */
 	public record LimitStatement(OptionalDouble perSecond, HybridTimestamp statedAt) {
 
-		/** Nothing was ever heard. */
-		public static final LimitStatement NOTHING = new LimitStatement(OptionalDouble.empty(), HybridTimestamp.ZERO);
+		/** No statement has been received. */
+		public static final LimitStatement NONE = new LimitStatement(OptionalDouble.empty(), HybridTimestamp.ZERO);
 
 	}
 
--- a/core/src/main/java/org/tallycart/core/limit/TokenBucket.java
+++ b/core/src/main/java/org/tallycart/core/limit/TokenBucket.java
@@ -1,7 +1,7 @@
 package org.tallycart.core.limit;
 
 /**
- * Token bucket whose rate can change while it runs.
+ * A token bucket with an adjustable rate.
  * <p>
  * Invariant: over any time t it grants at most {@code burst} plus the integral of the
  * rate over t. Not thread-safe.
@@ -10,7 +10,7 @@
  */
 public final class TokenBucket {
 
-	private static final double MILLIS = 1000;
+	private static final double MILLIS_PER_SECOND = 1000;
 
 	private double ratePerSecond;
 
@@ -29,9 +29,9 @@
 
 	/**
 	 * Create a full bucket.
-	 * @param ratePerSecond the rate
-	 * @param burst tokens it holds, at most
-	 * @param nowMs the monotonic clock now
+	 * @param ratePerSecond the rate, in tokens per second
+	 * @param burst the capacity of the bucket, in tokens
+	 * @param nowMs the current monotonic time, in milliseconds
 	 * @return the bucket
 	 */
 	public static TokenBucket create(double ratePerSecond, double burst, long nowMs) {
@@ -39,8 +39,8 @@
 	}
 
 	/**
-	 * Create a bucket that holds nothing and gets nothing until it is changed.
-	 * @param nowMs the monotonic clock now
+	 * Create an empty bucket, which receives no tokens until its rate is set.
+	 * @param nowMs the current monotonic time, in milliseconds
 	 * @return the bucket
 	 */
 	public static TokenBucket createEmpty(long nowMs) {
@@ -48,12 +48,12 @@
 	}
 
 	/**
-	 * Change the rate from now on.
-	 * @param newRate the rate
-	 * @param newBurst tokens the bucket holds, at most
-	 * @param nowMs the monotonic clock now
+	 * Set the rate from now on. Tokens above the new capacity are dropped.
+	 * @param newRate the rate, in tokens per second
+	 * @param newBurst the capacity of the bucket, in tokens
+	 * @param nowMs the current monotonic time, in milliseconds
 	 */
-	public void change(double newRate, double newBurst, long nowMs) {
+	public void setRate(double newRate, double newBurst, long nowMs) {
 		refill(nowMs);
 		this.ratePerSecond = newRate;
 		this.burst = newBurst;
@@ -62,8 +62,8 @@
 
 	/**
 	 * Take a token.
-	 * @param nowMs the monotonic clock now
-	 * @return whether there was one
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return true if a token was available
 	 */
 	public boolean tryTake(long nowMs) {
 		refill(nowMs);
@@ -75,14 +75,15 @@
 	}
 
 	/**
-	 * Take the next token ahead of its time, for use when it comes.
-	 * @param mostWaitMs the longest time until then, in milliseconds
-	 * @param nowMs the monotonic clock now
-	 * @return whether it was taken; it comes after what {@link #waitMs} returned before
+	 * Reserve the next token in advance.
+	 * @param maxWaitMs the maximum time until the token is available, in milliseconds
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return true if it was reserved; it is available after the time that
+	 * {@link #waitMs} returned before this call
 	 */
-	public boolean tryReserve(long mostWaitMs, long nowMs) {
+	public boolean tryReserve(long maxWaitMs, long nowMs) {
 		refill(nowMs);
-		if (waitMs() > mostWaitMs) {
+		if (waitMs() > maxWaitMs) {
 			return false;
 		}
 		this.tokens -= 1;
@@ -90,29 +91,30 @@
 	}
 
 	/**
-	 * Return whether there is a token.
-	 * @param nowMs the monotonic clock now
-	 * @return whether {@link #tryTake} would give one
+	 * Return whether a token is available.
+	 * @param nowMs the current monotonic time, in milliseconds
+	 * @return true if {@link #tryTake} would succeed
 	 */
-	public boolean available(long nowMs) {
+	public boolean isAvailable(long nowMs) {
 		refill(nowMs);
 		return this.tokens >= 1;
 	}
 
 	/**
-	 * Return when the next token comes.
-	 * @return milliseconds from the last call on
+	 * Return the time until the next token is available.
+	 * @return the time in milliseconds, from the last call that passed a time; 1 s for an
+	 * empty bucket with no rate
 	 */
 	public long waitMs() {
 		if (this.tokens >= 1 || this.ratePerSecond <= 0) {
-			return (this.tokens >= 1) ? 0 : (long) MILLIS;
+			return (this.tokens >= 1) ? 0 : (long) MILLIS_PER_SECOND;
 		}
-		return (long) Math.ceil((1 - this.tokens) * MILLIS / this.ratePerSecond);
+		return (long) Math.ceil((1 - this.tokens) * MILLIS_PER_SECOND / this.ratePerSecond);
 	}
 
 	private void refill(long nowMs) {
-		long elapsed = Math.max(nowMs - this.lastMs, 0);
-		this.tokens = Math.min(this.burst, this.tokens + elapsed * this.ratePerSecond / MILLIS);
+		long elapsedMs = Math.max(nowMs - this.lastMs, 0);
+		this.tokens = Math.min(this.burst, this.tokens + elapsedMs * this.ratePerSecond / MILLIS_PER_SECOND);
 		this.lastMs = Math.max(this.lastMs, nowMs);
 	}
 
--- a/core/src/main/java/org/tallycart/core/limit/package-info.java
+++ b/core/src/main/java/org/tallycart/core/limit/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Workspace limits that hold over all VMs together.
+ * Rate limits that hold over all VMs together: the limits of workspaces, and the limits
+ * that upstreams state.
  */
 @NullMarked
 package org.tallycart.core.limit;
--- a/core/src/main/java/org/tallycart/core/upstream/ColdStartLimiter.java
+++ b/core/src/main/java/org/tallycart/core/upstream/ColdStartLimiter.java
@@ -98,7 +98,7 @@
 
 	private boolean maySend(UpstreamState state, long nowMs) {
 		UpstreamShare share = share(state, nowMs);
-		return share.isSender && share.bucket.available(nowMs);
+		return share.isSender && share.bucket.isAvailable(nowMs);
 	}
 
 	private UpstreamShare share(UpstreamState state, long nowMs) {
--- a/core/src/test/java/org/tallycart/core/limit/LimitedFleet.java
+++ b/core/src/test/java/org/tallycart/core/limit/LimitedFleet.java
@@ -21,10 +21,9 @@
 import org.tallycart.core.time.HybridClock;
 
 /**
- * VMs in front of one upstream that has named a limit, in virtual time: the tables,
- * limits and grants that the serving process runs, messages that take some milliseconds
- * and are lost at cuts, and callers who all want this upstream. No network, no threads,
- * no clock.
+ * Simulation of VMs that send requests to one upstream with a stated limit, in virtual
+ * time: the production tables, limits and limiters, and messages that take some
+ * milliseconds and are failed between partitions. Uses no network, threads or clock.
  * <p>
  * Not thread-safe: belongs to one test.
  */
@@ -34,26 +33,26 @@
 
 	private static final int TICK_MS = 100;
 
-	/** A message between VMs, in milliseconds. */
-	private static final int MESSAGE_MS = 5;
+	/** Delay of a message between VMs, in milliseconds. */
+	private static final int MESSAGE_DELAY_MS = 5;
 
-	/** From one VM's news to all others, in milliseconds. */
-	private static final int NEWS_MS = 80;
+	/** Maximum delay of a notice to all other VMs, in milliseconds. */
+	private static final int MAX_NOTICE_MS = 80;
 
-	/** A request's way to the upstream, and the reply's way back. */
-	private static final int REPLY_MS = 200;
+	/** Time from a request to the reply of the upstream, in milliseconds. */
+	private static final int REPLY_DELAY_MS = 200;
 
-	/** From a start to a VM's first request, in milliseconds. */
-	private static final int START_MS = 700;
+	/** Time from the start of a VM to its first request, in milliseconds. */
+	private static final int START_DELAY_MS = 700;
 
-	/** A VM that does not answer in this time does not grant. */
-	private static final int ANSWER_MS = 150;
+	/** Wait after the denial of a VM that is not the leader, in milliseconds. */
+	private static final int NOT_LEADER_WAIT_MS = 150;
 
-	/** Time between two readings of the VMs' records. */
-	private static final int RECORDS_MS = 1_000;
+	/** Period in which VMs read the records of all VMs, in milliseconds. */
+	private static final int RECORDS_PERIOD_MS = 1_000;
 
-	/** Until a VM that was cut off hears what it missed. */
-	private static final int MISSED_MS = 1_500;
+	/** Maximum time until a VM has caught up after a partition, in milliseconds. */
+	private static final int MAX_CATCH_UP_MS = 1_500;
 
 	private final Random random;
 
@@ -64,9 +63,9 @@
 
 	private final Map<String, Integer> groups = new HashMap<>();
 
-	private final Set<Set<String>> severed = new HashSet<>();
+	private final Set<Set<String>> disconnected = new HashSet<>();
 
-	private boolean storeAway;
+	private boolean storeUnavailable;
 
 	private final List<Long> arrivalsMs = new ArrayList<>();
 
@@ -76,7 +75,7 @@
 
 	private long now;
 
-	private long lastEvent;
+	private long nextEventNumber;
 
 	private long incarnations;
 
@@ -88,8 +87,8 @@
 		}
 	}
 
-	void after(long ms, Runnable what) {
-		this.events.add(new Event(this.now + ms, this.lastEvent++, what));
+	void after(long ms, Runnable action) {
+		this.events.add(new Event(this.now + ms, this.nextEventNumber++, action));
 	}
 
 	void run(long ms) {
@@ -97,7 +96,7 @@
 		while (!this.events.isEmpty() && this.events.peek().atMs() <= end) {
 			Event next = this.events.poll();
 			this.now = next.atMs();
-			next.what().run();
+			next.action().run();
 		}
 		this.now = end;
 	}
@@ -121,7 +120,7 @@
 		}
 	}
 
-	// A VM that is told to stop says so for a while, ends, and starts again.
+	// The VM drains for some time, stops, and starts again.
 	void restart(String name, long awayMs) {
 		this.vms.get(name).drain();
 		after(2_000, () -> kill(name));
@@ -132,40 +131,40 @@
 		return new ArrayList<>(this.vms.keySet());
 	}
 
-	// The VM that most others ask.
-	String holder() {
-		Map<String, Integer> named = new TreeMap<>();
-		live().forEach((vm) -> named.merge(vm.table.leader(LeaderRole.PERMIT_GRANTER), 1, Integer::sum));
-		return named.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
+	// Returns the VM that most VMs regard as the leader.
+	String leader() {
+		Map<String, Integer> votes = new TreeMap<>();
+		live().forEach((vm) -> votes.merge(vm.table.leader(LeaderRole.PERMIT_GRANTER), 1, Integer::sum));
+		return votes.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
 	}
 
-	// VMs hear only those with the same number; all reach the upstream and have callers.
-	void cut(String name, int group) {
+	// VMs reach only VMs of the same group; all reach the upstream and receive requests.
+	void isolate(String name, int group) {
 		this.groups.put(name, group);
 	}
 
-	// Two VMs that do not hear each other, though others may hear both.
-	void sever(String one, String other) {
-		this.severed.add(Set.of(one, other));
+	// The two VMs do not reach each other, though others may reach both.
+	void disconnect(String one, String other) {
+		this.disconnected.add(Set.of(one, other));
 	}
 
-	// What VMs know of each other stays as it is; one that starts now has still read what
-	// was known before.
-	void loseStore() {
-		this.storeAway = true;
+	// VMs keep the records that they have; a VM that starts now still reads the records
+	// of before.
+	void stopStore() {
+		this.storeUnavailable = true;
 	}
 
 	void heal() {
 		this.groups.clear();
-		this.severed.clear();
-		live().forEach((vm) -> after(this.random.nextInt(MISSED_MS), vm::hearMissed));
+		this.disconnected.clear();
+		live().forEach((vm) -> after(this.random.nextInt(MAX_CATCH_UP_MS), vm::catchUp));
 	}
 
-	void lift() {
+	void withdrawLimit() {
 		this.limit = OptionalDouble.empty();
 	}
 
-	// Callers that come to any VM, until some time.
+	// Sends requests to random VMs until the given time.
 	void traffic(double perSecond, long untilMs) {
 		if (this.now >= untilMs) {
 			return;
@@ -178,8 +177,8 @@
 		after(Math.max((long) pauseMs, 1), () -> traffic(perSecond, untilMs));
 	}
 
-	int mostIn(long spanMs, long fromMs) {
-		int most = 0;
+	int maxArrivalsIn(long spanMs, long fromMs) {
+		int max = 0;
 		for (int first = 0, last = 0; last < this.arrivalsMs.size(); last++) {
 			if (this.arrivalsMs.get(last) < fromMs) {
 				first = last + 1;
@@ -188,9 +187,9 @@
 			while (this.arrivalsMs.get(last) - this.arrivalsMs.get(first) >= spanMs) {
 				first++;
 			}
-			most = Math.max(most, last - first + 1);
+			max = Math.max(max, last - first + 1);
 		}
-		return most;
+		return max;
 	}
 
 	long arrivedSince(long fromMs) {
@@ -202,7 +201,7 @@
 	}
 
 	private boolean reaches(Vm from, Vm to) {
-		return to.up && this.vms.get(to.name) == to && !this.severed.contains(pair(from, to))
+		return to.up && this.vms.get(to.name) == to && !this.disconnected.contains(pair(from, to))
 				&& this.groups.getOrDefault(from.name, 0).equals(this.groups.getOrDefault(to.name, 0));
 	}
 
@@ -210,13 +209,13 @@
 		return from.name.equals(to.name) ? Set.of(from.name) : Set.of(from.name, to.name);
 	}
 
-	private void arrive(Vm from) {
+	private void sendUpstream(Vm from) {
 		this.arrivalsMs.add(this.now);
-		OptionalDouble said = this.limit;
-		after(REPLY_MS, () -> from.onReply(said));
+		OptionalDouble statedLimit = this.limit;
+		after(REPLY_DELAY_MS, () -> from.onReply(statedLimit));
 	}
 
-	/** A VM. */
+	/** A simulated VM. */
 	private final class Vm {
 
 		private final String name;
@@ -225,11 +224,11 @@
 
 		private final LeaderTable table;
 
-		private final PeerReachability heard = new PeerReachability(LimitedFleet.this.now);
+		private final PeerReachability reachability = new PeerReachability(LimitedFleet.this.now);
 
 		private final StatedLimits limits = new StatedLimits();
 
-		private final UpstreamRateLimiter grants = new UpstreamRateLimiter();
+		private final UpstreamRateLimiter limiter = new UpstreamRateLimiter();
 
 		private final HybridClock clock = new HybridClock();
 
@@ -239,15 +238,15 @@
 
 		private boolean draining;
 
-		private long freeFromMs;
+		private long deniedUntilMs;
 
-		private long readRecordsMs;
+		private long nextRecordsMs;
 
 		Vm(String name) {
 			this.name = name;
 			this.table = new LeaderTable(name);
-			after(START_MS / 2 + LimitedFleet.this.random.nextInt(START_MS / 4), this::hearMissed);
-			after(START_MS, () -> this.ready = true);
+			after(START_DELAY_MS / 2 + LimitedFleet.this.random.nextInt(START_DELAY_MS / 4), this::catchUp);
+			after(START_DELAY_MS, () -> this.ready = true);
 			after(LimitedFleet.this.random.nextInt(TICK_MS), this::tick);
 		}
 
@@ -256,42 +255,42 @@
 				return;
 			}
 			long now = LimitedFleet.this.now;
-			boolean reads = !LimitedFleet.this.storeAway || this.table.recordCount() == 0;
-			if (reads && now >= this.readRecordsMs) {
-				this.readRecordsMs = now + RECORDS_MS;
+			boolean reads = !LimitedFleet.this.storeUnavailable || this.table.recordCount() == 0;
+			if (reads && now >= this.nextRecordsMs) {
+				this.nextRecordsMs = now + RECORDS_PERIOD_MS;
 				this.table.updateRecords(LimitedFleet.this.records);
 			}
-			this.table.setWatchedRoles(wanted());
-			this.table.detectFailures(now).forEach((lost) -> this.heard.onPeerLost(now));
+			this.table.setWatchedRoles(watchedRoles());
+			this.table.detectFailures(now).forEach((failed) -> this.reachability.onPeerLost(now));
 			this.table.dueHeartbeats(now).forEach((record) -> ask(LimitedFleet.this.vms.get(record.vm())));
 			after(TICK_MS, this::tick);
 		}
 
-		private List<LeaderRole> wanted() {
-			List<LeaderRole> wanted = new ArrayList<>();
-			if (LimitedFleet.this.storeAway) {
-				wanted.add(LeaderRole.STORE_READER);
+		private List<LeaderRole> watchedRoles() {
+			List<LeaderRole> watchedRoles = new ArrayList<>();
+			if (LimitedFleet.this.storeUnavailable) {
+				watchedRoles.add(LeaderRole.STORE_READER);
 			}
 			if (!this.limits.isEmpty()) {
-				wanted.add(LeaderRole.PERMIT_GRANTER);
+				watchedRoles.add(LeaderRole.PERMIT_GRANTER);
 			}
-			return wanted;
+			return watchedRoles;
 		}
 
 		private void ask(Vm other) {
-			after(MESSAGE_MS, () -> {
+			after(MESSAGE_DELAY_MS, () -> {
 				if (!this.up || !reaches(this, other)) {
 					return;
 				}
 				if (this.draining) {
-					other.heard.onDraining(this.name);
+					other.reachability.onDraining(this.name);
 				}
 				else {
-					other.heard.onMessage(this.name, LimitedFleet.this.now);
+					other.reachability.onMessage(this.name, LimitedFleet.this.now);
 				}
-				after(MESSAGE_MS, () -> {
+				after(MESSAGE_DELAY_MS, () -> {
 					if (this.up && reaches(other, this)) {
-						this.heard.onMessage(other.name, LimitedFleet.this.now);
+						this.reachability.onMessage(other.name, LimitedFleet.this.now);
 						this.table.onAnswer(other.name, other.incarnation, other.draining, LimitedFleet.this.now);
 					}
 				});
@@ -304,34 +303,34 @@
 			this.table.drain();
 		}
 
-		// What a VM that it reaches knows: at its start, and after a cut.
-		private void hearMissed() {
+		// Exchanges statements with a reachable VM, at a start and after a partition.
+		private void catchUp() {
 			List<Vm> sources = live().stream().filter((other) -> other.ready && reaches(this, other)).toList();
 			if (!sources.isEmpty()) {
 				Vm source = sources.get(LimitedFleet.this.random.nextInt(sources.size()));
-				source.limits.snapshot().forEach((upstream, named) -> learn(named));
-				this.limits.snapshot().forEach((upstream, named) -> source.learn(named));
+				source.limits.snapshot().forEach((upstream, statement) -> merge(statement));
+				this.limits.snapshot().forEach((upstream, statement) -> source.merge(statement));
 			}
 		}
 
-		private void learn(StatedLimits.LimitStatement named) {
-			this.clock.receive(named.statedAt(), LimitedFleet.this.now);
-			if (this.limits.merge(UPSTREAM, named.perSecond(), named.statedAt(), LimitedFleet.this.now)) {
-				tellAll(named);
+		private void merge(StatedLimits.LimitStatement statement) {
+			this.clock.receive(statement.statedAt(), LimitedFleet.this.now);
+			if (this.limits.merge(UPSTREAM, statement.perSecond(), statement.statedAt(), LimitedFleet.this.now)) {
+				publish(statement);
 			}
 		}
 
-		private void onReply(OptionalDouble said) {
-			if (said.isPresent() || this.limits.perSecond(UPSTREAM).isPresent()) {
-				learn(new StatedLimits.LimitStatement(said, this.clock.tick(LimitedFleet.this.now)));
+		private void onReply(OptionalDouble statedLimit) {
+			if (statedLimit.isPresent() || this.limits.perSecond(UPSTREAM).isPresent()) {
+				merge(new StatedLimits.LimitStatement(statedLimit, this.clock.tick(LimitedFleet.this.now)));
 			}
 		}
 
-		private void tellAll(StatedLimits.LimitStatement named) {
+		private void publish(StatedLimits.LimitStatement statement) {
 			for (Vm other : live()) {
-				after(1 + LimitedFleet.this.random.nextInt(NEWS_MS), () -> {
+				after(1 + LimitedFleet.this.random.nextInt(MAX_NOTICE_MS), () -> {
 					if (reaches(this, other)) {
-						other.learn(named);
+						other.merge(statement);
 					}
 				});
 			}
@@ -340,33 +339,33 @@
 		private void request() {
 			long now = LimitedFleet.this.now;
 			if (this.limits.perSecond(UPSTREAM).isEmpty()) {
-				arrive(this);
+				sendUpstream(this);
 				return;
 			}
-			if (now < this.freeFromMs || !this.table.isLeaderKnown(LeaderRole.PERMIT_GRANTER, now)
+			if (now < this.deniedUntilMs || !this.table.isLeaderKnown(LeaderRole.PERMIT_GRANTER, now)
 					|| this.table.recordCount() == 0) {
 				return;
 			}
-			String holder = this.table.leader(LeaderRole.PERMIT_GRANTER);
-			if (holder.equals(this.name)) {
+			String leader = this.table.leader(LeaderRole.PERMIT_GRANTER);
+			if (leader.equals(this.name)) {
 				onPermit(grant(now));
 			}
 			else {
-				askFor(LimitedFleet.this.vms.get(holder));
+				requestPermit(LimitedFleet.this.vms.get(leader));
 			}
 		}
 
-		private void askFor(Vm holder) {
-			after(MESSAGE_MS, () -> {
-				if (!reaches(this, holder)) {
+		private void requestPermit(Vm leader) {
+			after(MESSAGE_DELAY_MS, () -> {
+				if (!reaches(this, leader)) {
 					return;
 				}
-				holder.learn(this.limits.latest(UPSTREAM));
-				boolean grantsHere = holder.table.isLeaderKnown(LeaderRole.PERMIT_GRANTER, LimitedFleet.this.now)
-						&& holder.table.leader(LeaderRole.PERMIT_GRANTER).equals(holder.name);
-				Permit permit = grantsHere ? holder.grant(LimitedFleet.this.now) : Permit.denied(ANSWER_MS);
-				after(MESSAGE_MS, () -> {
-					if (this.up && reaches(holder, this)) {
+				leader.merge(this.limits.latest(UPSTREAM));
+				boolean grantsHere = leader.table.isLeaderKnown(LeaderRole.PERMIT_GRANTER, LimitedFleet.this.now)
+						&& leader.table.leader(LeaderRole.PERMIT_GRANTER).equals(leader.name);
+				Permit permit = grantsHere ? leader.grant(LimitedFleet.this.now) : Permit.denied(NOT_LEADER_WAIT_MS);
+				after(MESSAGE_DELAY_MS, () -> {
+					if (this.up && reaches(leader, this)) {
 						onPermit(permit);
 					}
 				});
@@ -378,30 +377,30 @@
 			if (perSecond.isEmpty()) {
 				return Permit.UNLIMITED;
 			}
-			double share = this.heard.shareOfRate(this.table.unresponsiveAhead(LeaderRole.PERMIT_GRANTER, now),
+			double share = this.reachability.shareOfRate(this.table.unresponsiveAhead(LeaderRole.PERMIT_GRANTER, now),
 					this.table.vms(), now);
-			return this.grants.acquire(UPSTREAM, perSecond.getAsDouble(), share, 0, now);
+			return this.limiter.acquire(UPSTREAM, perSecond.getAsDouble(), share, 0, now);
 		}
 
 		private void onPermit(Permit permit) {
 			if (permit.granted()) {
-				arrive(this);
+				sendUpstream(this);
 			}
 			else {
-				this.freeFromMs = LimitedFleet.this.now + permit.waitMs();
+				this.deniedUntilMs = LimitedFleet.this.now + permit.waitMs();
 			}
 		}
 
 	}
 
 	/**
-	 * Something that happens.
+	 * An event of the simulation.
 	 *
-	 * @param atMs when
-	 * @param number orders what happens at the same time
-	 * @param what what
+	 * @param atMs the time of the event, in milliseconds
+	 * @param number the sequence number, which orders events at the same time
+	 * @param action the effect of the event
 	 */
-	private record Event(long atMs, long number, Runnable what) {
+	private record Event(long atMs, long number, Runnable action) {
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/limit/ShareAllocationTests.java
+++ b/core/src/test/java/org/tallycart/core/limit/ShareAllocationTests.java
@@ -9,7 +9,8 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for workspace limits over several VMs.
+ * Tests for {@link ShareLimiter} and {@link ShareAllocator}: workspace limits over
+ * several VMs.
  */
 public class ShareAllocationTests {
 
@@ -17,28 +18,31 @@
 
 	private static final int VMS = 8;
 
-	/** Answers are lost, late, and homes move; what all VMs let in is counted. */
-	private static int admitted(long seed, double lossShare, boolean moveHome, long durationMs) {
+	/**
+	 * Simulate lost and late replies and changes of the allocator, and return the number
+	 * of requests that all VMs admit.
+	 */
+	private static int countAdmitted(long seed, double lossRate, boolean replaceAllocator, long durationMs) {
 		Random random = new Random(seed);
-		List<ShareLimiter> holders = new ArrayList<>();
+		List<ShareLimiter> limiters = new ArrayList<>();
 		for (int i = 0; i < VMS; i++) {
-			holders.add(ShareLimiter.create(0));
+			limiters.add(ShareLimiter.create(0));
 		}
-		ShareAllocator home = ShareAllocator.create(-10_000);
+		ShareAllocator allocator = ShareAllocator.create(-10_000);
 		int admitted = 0;
 		for (long now = 0; now < durationMs; now += 5) {
-			if (moveHome && now % 7_000 == 0 && now > 0) {
-				home = ShareAllocator.create(now);
+			if (replaceAllocator && now % 7_000 == 0 && now > 0) {
+				allocator = ShareAllocator.create(now);
 			}
 			int hot = (int) (now / 4_000) % VMS;
 			for (int vm = 0; vm < VMS; vm++) {
-				ShareLimiter holder = holders.get(vm);
+				ShareLimiter limiter = limiters.get(vm);
 				boolean arrives = random.nextDouble() < ((vm == hot) ? 1 : 0.05);
-				admitted += (arrives && holder.tryAcquire(LIMIT, VMS, now)) ? 1 : 0;
+				admitted += (arrives && limiter.tryAcquire(LIMIT, VMS, now)) ? 1 : 0;
 				if (now % 500 == vm * 5) {
-					double rate = home.allocate(holder.createRequest("w", "vm" + vm, now), LIMIT, now + 2);
-					if (random.nextDouble() >= lossShare) {
-						holder.onGrant(rate, now);
+					double rate = allocator.allocate(limiter.createRequest("w", "vm" + vm, now), LIMIT, now + 2);
+					if (random.nextDouble() >= lossRate) {
+						limiter.onGrant(rate, now);
 					}
 				}
 			}
@@ -47,27 +51,27 @@
 	}
 
 	@Test
-	void allVmsTogetherStayWithinTheLimitWhateverIsLost() {
+	void allVmsTogetherStayWithinTheLimitUnderMessageLoss() {
 		long seconds = 60;
 		double burst = LIMIT * 0.5 + VMS;
 		for (long seed = 0; seed < 200; seed++) {
-			int total = admitted(seed, (seed % 4) * 0.25, seed % 2 == 0, seconds * 1_000);
+			int total = countAdmitted(seed, (seed % 4) * 0.25, seed % 2 == 0, seconds * 1_000);
 			assertTrue(total <= LIMIT * seconds + burst, "seed " + seed + " let in " + total);
 		}
 	}
 
 	@Test
 	void sharesFollowDemand() {
-		int total = admitted(1, 0, false, 60_000);
+		int total = countAdmitted(1, 0, false, 60_000);
 		assertTrue(total >= LIMIT * 60 * 0.6, "one hot VM after the other uses most of the limit: " + total);
 	}
 
 	@Test
-	void aVmThatHearsNothingKeepsASafeShare() {
-		int total = admitted(1, 1, false, 60_000);
-		double safe = LIMIT * ShareAllocator.SAFE_PART * 60;
-		assertTrue(total <= safe + VMS, "let in " + total);
-		assertTrue(total >= safe * 0.5, "let in " + total);
+	void aVmWithoutGrantsUsesItsReservedShare() {
+		int total = countAdmitted(1, 1, false, 60_000);
+		double reserved = LIMIT * ShareAllocator.RESERVED_FRACTION * 60;
+		assertTrue(total <= reserved + VMS, "let in " + total);
+		assertTrue(total >= reserved * 0.5, "let in " + total);
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/limit/StatedLimitsTests.java
+++ b/core/src/test/java/org/tallycart/core/limit/StatedLimitsTests.java
@@ -12,7 +12,7 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for what one VM knows of the limits that upstreams have named.
+ * Tests for {@link StatedLimits}.
  */
 public class StatedLimitsTests {
 
@@ -21,7 +21,7 @@
 	private StatedLimits limits = new StatedLimits();
 
 	@BeforeMethod
-	void begin() {
+	void setUp() {
 		this.limits = new StatedLimits();
 	}
 
@@ -29,8 +29,8 @@
 		return OptionalDouble.of(perSecond);
 	}
 
-	private boolean hear(OptionalDouble perSecond, long saidMs) {
-		return this.limits.merge("u", perSecond, new HybridTimestamp(saidMs, 0), saidMs);
+	private boolean merge(OptionalDouble perSecond, long statedAtMs) {
+		return this.limits.merge("u", perSecond, new HybridTimestamp(statedAtMs, 0), statedAtMs);
 	}
 
 	@DataProvider
@@ -41,32 +41,32 @@
 	}
 
 	@Test(dataProvider = "statements")
-	void othersHearOfWhatChangesALot(OptionalDouble before, OptionalDouble after, boolean news) {
-		hear(before, 1);
-		assertEquals(hear(after, 2), news);
+	void onlyLargeChangesArePublished(OptionalDouble before, OptionalDouble after, boolean published) {
+		merge(before, 1);
+		assertEquals(merge(after, 2), published);
 		assertEquals(this.limits.perSecond("u"), after);
 	}
 
-	/** Pattern: a limit falls a little with each reply. */
+	/** A limit decreases slightly with each reply. */
 	@Test
-	void aLimitThatChangesALittleEachTimeIsToldInTheEnd() {
-		assertTrue(hear(rate(10), 1));
-		assertFalse(hear(rate(9.5), 2));
-		assertTrue(hear(rate(8.9), 3));
+	void theSumOfSmallChangesIsPublished() {
+		assertTrue(merge(rate(10), 1));
+		assertFalse(merge(rate(9.5), 2));
+		assertTrue(merge(rate(8.9), 3));
 	}
 
-	/** Pattern: old news of a limit arrive after the upstream has taken it back. */
+	/** An older statement arrives after the upstream has withdrawn its limit. */
 	@Test
-	void anEarlierStatementDoesNotTakeALaterOneBack() {
-		hear(rate(2), 10);
-		hear(NONE, 20);
-		assertFalse(hear(rate(2), 15));
+	void anEarlierStatementDoesNotReplaceALaterOne() {
+		merge(rate(2), 10);
+		merge(NONE, 20);
+		assertFalse(merge(rate(2), 15));
 		assertEquals(this.limits.perSecond("u"), NONE);
 	}
 
 	@Test
-	void whatIsOfNoUseIsDropped() {
-		hear(rate(2), 0);
+	void statementsOfUnlistedUpstreamsAreDropped() {
+		merge(rate(2), 0);
 		this.limits.expire((incarnation) -> false, 29_000);
 		assertEquals(this.limits.count(), 1, "its upstream may be listed soon");
 		this.limits.expire((incarnation) -> true, 60_000);
