--- a/core/src/main/java/org/tallycart/core/fleet/LeaderTable.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderTable.java
@@ -18,7 +18,7 @@
  * available one is the leader. A VM sends heartbeat requests only to the leader and the
  * standby, and for some time to former ones, so the number of heartbeats of a VM does not
  * depend on the size of the fleet. Views may differ for a while, so a role must tolerate
- * two leaders at the same time.
+ * several leaders at the same time.
  * <p>
  * Invariants: a leader is this VM itself, or a VM that replied recently; a draining VM
  * leads no role. Not thread-safe: belongs to one event loop.
--- a/core/src/main/java/org/tallycart/core/fleet/PeerReachability.java
+++ b/core/src/main/java/org/tallycart/core/fleet/PeerReachability.java
@@ -76,7 +76,8 @@
 	 * Return the share of a common rate that this VM may grant as the leader. During a
 	 * network partition there may be several leaders. Each grants a third of the share of
 	 * the one that ranks before it, and a third of that if it does not reach a majority
-	 * of the VMs that may be live. All shares together stay below 1.5 in any partition.
+	 * of the VMs that may be live. The shares add up to less than 1.5 while all VMs have
+	 * the same records.
 	 * @param unresponsiveAhead the VMs that rank before this one and may lead other VMs
 	 * @param recordedVms all VMs with a record; a VM that has just started counts them as
 	 * possibly live
