--- a/node/src/main/java/org/tallycart/node/piece/PieceMessageCodec.java
+++ b/node/src/main/java/org/tallycart/node/piece/PieceMessageCodec.java
@@ -9,8 +9,8 @@
 import org.tallycart.wire.message.PieceWithdrawal;
 
 /**
- * Translates pieces to and from the messages between VMs. Times become durations, since
- * VMs share no clock.
+ * Encodes and decodes pieces and their outcomes in messages between VMs. Times are sent
+ * as durations, since VMs share no clock.
  * <p>
  * Thread-safe: holds no state.
  */
@@ -61,7 +61,7 @@
 			.build();
 	}
 
-	// What is told of a piece that has no outcome yet.
+	// Encodes a notice about a piece that has no outcome yet.
 	static PieceAnswer notice(PieceId id, PieceAnswer.Status status) {
 		return PieceAnswer.newBuilder()
 			.setRequestId(id.requestId())
@@ -75,7 +75,7 @@
 		return new PieceId(answer.getRequestId(), answer.getStage(), answer.getPiece());
 	}
 
-	// A status that a newer VM may know and this one does not counts as a failure.
+	// Treats a status that only newer versions know as a failure.
 	static PieceOutcome outcome(PieceAnswer answer) {
 		return switch (answer.getStatus()) {
 			case MADE -> PieceOutcome.completed(answer.getHandle());
--- a/node/src/main/java/org/tallycart/node/piece/PieceOutbox.java
+++ b/node/src/main/java/org/tallycart/node/piece/PieceOutbox.java
@@ -18,11 +18,11 @@
 import org.tallycart.wire.message.PieceWithdrawals;
 
 /**
- * Collects what is said of pieces to other VMs within one turn of the event loop, and
- * sends each VM one message of each kind.
+ * Batches messages about pieces within one iteration of the event loop, so that each VM
+ * gets one message of each kind.
  * <p>
- * Invariant: a VM hears of withdrawn pieces and of results given back before it is asked
- * for new ones. Not thread-safe: belongs to the event loop.
+ * Invariant: withdrawals and releases are sent to a VM before newly submitted pieces. Not
+ * thread-safe: confined to the event loop.
  */
 final class PieceOutbox {
 
@@ -38,7 +38,7 @@
 
 	private Optional<PeerMesh> mesh = Optional.empty();
 
-	private boolean sendPlanned;
+	private boolean flushScheduled;
 
 	PieceOutbox(EventLoop loop) {
 		this.loop = loop;
@@ -48,44 +48,44 @@
 		this.mesh = Optional.of(peers);
 	}
 
-	void ask(String to, PieceAsk ask) {
-		this.asks.computeIfAbsent(to, (key) -> PieceAsks.newBuilder()).addAsks(ask);
-		planSend();
+	void submit(String to, PieceAsk piece) {
+		this.asks.computeIfAbsent(to, (key) -> PieceAsks.newBuilder()).addAsks(piece);
+		scheduleFlush();
 	}
 
-	void answer(String to, PieceAnswer answer) {
+	void reply(String to, PieceAnswer answer) {
 		this.answers.computeIfAbsent(to, (key) -> PieceAnswers.newBuilder()).addAnswers(answer);
-		planSend();
+		scheduleFlush();
 	}
 
 	void withdraw(String to, PieceWithdrawal withdrawal) {
 		this.withdrawals.computeIfAbsent(to, (key) -> PieceWithdrawals.newBuilder()).addWithdrawals(withdrawal);
-		planSend();
+		scheduleFlush();
 	}
 
 	void release(String to, String service, List<String> handles) {
 		this.releases.computeIfAbsent(to, (key) -> PieceReleases.newBuilder())
 			.addReleases(PieceRelease.newBuilder().setService(service).addAllHandles(handles));
-		planSend();
+		scheduleFlush();
 	}
 
-	private void planSend() {
-		if (!this.sendPlanned) {
-			this.sendPlanned = true;
-			this.loop.execute(this::sendAll);
+	private void scheduleFlush() {
+		if (!this.flushScheduled) {
+			this.flushScheduled = true;
+			this.loop.execute(this::flush);
 		}
 	}
 
-	private void sendAll() {
-		this.sendPlanned = false;
-		this.mesh.ifPresent(this::sendAll);
+	private void flush() {
+		this.flushScheduled = false;
+		this.mesh.ifPresent(this::flush);
 		this.withdrawals.clear();
 		this.releases.clear();
 		this.asks.clear();
 		this.answers.clear();
 	}
 
-	private void sendAll(PeerMesh peers) {
+	private void flush(PeerMesh peers) {
 		this.withdrawals.forEach((to, message) -> peers.send(to, Envelope.newBuilder().setPieceWithdrawals(message)));
 		this.releases.forEach((to, message) -> peers.send(to, Envelope.newBuilder().setPieceReleases(message)));
 		this.asks.forEach((to, message) -> peers.send(to, Envelope.newBuilder().setPieceAsks(message)));
--- a/node/src/main/java/org/tallycart/node/piece/PieceService.java
+++ b/node/src/main/java/org/tallycart/node/piece/PieceService.java
@@ -24,18 +24,18 @@
 import org.tallycart.wire.message.PieceWithdrawal;
 
 /**
- * Gets pieces made: here, where this VM is the pool's dispatcher, or by asking the VM
- * that is. When that VM is lost, its pieces are asked for again at the next one.
+ * Runs pieces of stages: submits each to the dispatcher of its pool, which is this VM or
+ * another one. When that VM fails, its pieces are submitted to the next dispatcher.
  * <p>
- * Invariant: an asker hears one outcome of each piece that it does not withdraw. Not
- * thread-safe: belongs to the event loop.
+ * Invariant: a listener gets one outcome for each piece that is not withdrawn. Not
+ * thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
 public final class PieceService implements PeerMessageHandler {
 
-	/** Time between two looks at pieces that are held, in milliseconds. */
-	private static final long HELD_LOOK_MS = 25;
+	/** Interval of the checks for unrouted pieces, in milliseconds. */
+	private static final long UNROUTED_CHECK_MS = 25;
 
 	private final String vm;
 
@@ -43,39 +43,39 @@
 
 	private final ActiveConfig config;
 
-	private final ResultReleaser returns;
+	private final ResultReleaser releaser;
 
 	private final PoolDrivers drivers;
 
-	private final Map<PieceId, Outstanding> outstanding = new HashMap<>();
+	private final Map<PieceId, RemotePiece> outstanding = new HashMap<>();
 
 	private final PieceOutbox outbox;
 
-	private final UnroutedPieces held = new UnroutedPieces();
+	private final UnroutedPieces unrouted = new UnroutedPieces();
 
-	private final PieceLatencyEstimator times = new PieceLatencyEstimator();
+	private final PieceLatencyEstimator latencies = new PieceLatencyEstimator();
 
 	private Optional<PeerMesh> mesh = Optional.empty();
 
 	/**
 	 * Create the service.
 	 * @param vm this VM's name
-	 * @param parts what all pools share
-	 * @param config tells what workers can do
-	 * @param directory tells which workers exist
+	 * @param context the dependencies of all pools
+	 * @param config the active configuration, which describes the pools
+	 * @param directory the workers that exist
 	 */
-	public PieceService(String vm, PoolContext parts, ActiveConfig config, UpstreamDirectory directory) {
+	public PieceService(String vm, PoolContext context, ActiveConfig config, UpstreamDirectory directory) {
 		this.vm = vm;
-		this.loop = parts.loop();
+		this.loop = context.loop();
 		this.config = config;
-		this.returns = parts.returns();
-		this.drivers = new PoolDrivers(parts, config, directory);
+		this.releaser = context.releaser();
+		this.drivers = new PoolDrivers(context, config, directory);
 		this.outbox = new PieceOutbox(this.loop);
 	}
 
 	/**
-	 * Begin to work with other VMs.
-	 * @param peers the other VMs
+	 * Start to submit pieces to other VMs.
+	 * @param peers the connections to the other VMs
 	 */
 	public void start(PeerMesh peers) {
 		this.mesh = Optional.of(peers);
@@ -83,8 +83,8 @@
 	}
 
 	/**
-	 * Return the duties of VMs that this one may ask for pieces.
-	 * @return one for each pool of the configuration
+	 * Return the leader roles of the VMs that dispatch pieces.
+	 * @return one role for each configured pool
 	 */
 	public List<LeaderRole> duties() {
 		return this.config.current()
@@ -95,96 +95,98 @@
 			.toList();
 	}
 
-	/** Take note that the configuration or the list of upstreams has changed. */
+	/** Apply a change of the configuration or of the list of upstreams. */
 	public void refreshPools() {
-		this.drivers.onChange();
+		this.drivers.refresh();
 	}
 
 	/**
-	 * Ask for a piece.
+	 * Submit a piece to the dispatcher of its pool.
 	 * @param job the piece
-	 * @param asker hears its outcome
-	 * @return the VM that dispatches it; empty while that is not known
+	 * @param listener the listener for its outcome
+	 * @return the name of the dispatching VM; empty while it is not known
 	 */
-	public String submit(PieceJob job, PieceListener asker) {
-		this.times.onSubmitted(job, this.loop.nowMs());
-		return dispatch(job, new TimedAsker(job, asker));
+	public String submit(PieceJob job, PieceListener listener) {
+		this.latencies.onSubmitted(job, this.loop.nowMs());
+		return dispatch(job, new TimingListener(job, listener));
 	}
 
-	private String dispatch(PieceJob job, PieceListener asker) {
-		if (!settled(job.service())) {
-			if (this.held.isEmpty()) {
-				this.loop.schedule(HELD_LOOK_MS, this::takeHeld);
+	private String dispatch(PieceJob job, PieceListener listener) {
+		if (!isDispatcherKnown(job.service())) {
+			if (this.unrouted.isEmpty()) {
+				this.loop.schedule(UNROUTED_CHECK_MS, this::routePieces);
 			}
-			this.held.hold(job, asker, this.loop.nowMs());
+			this.unrouted.add(job, listener, this.loop.nowMs());
 			return "";
 		}
-		return dispatchNow(job, asker);
+		return route(job, listener);
 	}
 
-	private boolean settled(String service) {
+	private boolean isDispatcherKnown(String service) {
 		return this.mesh
 			.map((peers) -> peers.duties().isLeaderKnown(LeaderRole.poolDispatcher(service), this.loop.nowMs()))
 			.orElse(true);
 	}
 
-	private void takeHeld() {
-		this.held.takeDue(this::settled, this.loop.nowMs()).forEach((each) -> dispatchNow(each.job(), each.asker()));
-		if (!this.held.isEmpty()) {
-			this.loop.schedule(HELD_LOOK_MS, this::takeHeld);
+	private void routePieces() {
+		this.unrouted.takeDue(this::isDispatcherKnown, this.loop.nowMs())
+			.forEach((piece) -> route(piece.job(), piece.listener()));
+		if (!this.unrouted.isEmpty()) {
+			this.loop.schedule(UNROUTED_CHECK_MS, this::routePieces);
 		}
 	}
 
-	private String dispatchNow(PieceJob job, PieceListener asker) {
-		String owner = dispatcher(job.service());
-		if (owner.equals(this.vm)) {
+	private String route(PieceJob job, PieceListener listener) {
+		String dispatcher = dispatcher(job.service());
+		if (dispatcher.equals(this.vm)) {
 			this.drivers.driver(job.service()).ifPresent(PoolDriver::resume);
-			askHere(job, asker);
+			submitLocally(job, listener);
 		}
 		else {
-			this.outstanding.put(job.id(), new Outstanding(job, asker, owner));
-			this.outbox.ask(owner, PieceMessageCodec.encode(job, this.loop.nowMs()));
+			this.outstanding.put(job.id(), new RemotePiece(job, listener, dispatcher));
+			this.outbox.submit(dispatcher, PieceMessageCodec.encode(job, this.loop.nowMs()));
 		}
-		return owner;
+		return dispatcher;
 	}
 
 	private String dispatcher(String service) {
 		return this.mesh.map((peers) -> peers.holder(LeaderRole.poolDispatcher(service))).orElse(this.vm);
 	}
 
-	private void askHere(PieceJob job, PieceListener asker) {
+	private void submitLocally(PieceJob job, PieceListener listener) {
 		Optional<PoolDriver> driver = this.drivers.driver(job.service());
 		if (driver.isPresent()) {
-			driver.get().ask(job, asker);
+			driver.get().submit(job, listener);
 		}
 		else {
-			this.loop.execute(() -> asker.onOutcome(job.id(), PieceOutcome.notCompleted(PieceOutcome.Status.FAILED)));
+			this.loop
+				.execute(() -> listener.onOutcome(job.id(), PieceOutcome.notCompleted(PieceOutcome.Status.FAILED)));
 		}
 	}
 
 	/**
-	 * Return how long a piece that is asked for now will probably take.
-	 * @param service its pool
-	 * @param priority the request's rank
+	 * Estimate how long a piece takes that is submitted now.
+	 * @param service the pool
+	 * @param priority the priority of the request; 0 is the highest
 	 * @return milliseconds
 	 */
 	public long expectedMs(String service, int priority) {
-		return this.times.expectedMs(service, priority, this.loop.nowMs());
+		return this.latencies.expectedMs(service, priority, this.loop.nowMs());
 	}
 
 	/**
-	 * Withdraw a piece.
-	 * @param service its pool
-	 * @param id the piece
+	 * Withdraw a piece; its listener gets no outcome.
+	 * @param service the pool
+	 * @param id the id of the piece
 	 */
 	public void withdraw(String service, PieceId id) {
-		this.times.onWithdrawn(id);
-		if (this.held.withdraw(id)) {
+		this.latencies.onWithdrawn(id);
+		if (this.unrouted.withdraw(id)) {
 			return;
 		}
-		Outstanding remote = this.outstanding.remove(id);
-		if (remote != null) {
-			this.outbox.withdraw(remote.owner, PieceMessageCodec.withdrawal(service, id));
+		RemotePiece piece = this.outstanding.remove(id);
+		if (piece != null) {
+			this.outbox.withdraw(piece.dispatcher, PieceMessageCodec.withdrawal(service, id));
 		}
 		else {
 			this.drivers.withdraw(service, id);
@@ -192,72 +194,71 @@
 	}
 
 	/**
-	 * Give results back. They go through the pool's dispatcher, which thereby knows how
-	 * much room its workers have.
+	 * Release results by way of the pool's dispatcher, which tracks the result memory of
+	 * its workers.
 	 * @param service the pool
-	 * @param handles the results
+	 * @param handles the handles of the results
 	 */
 	public void release(String service, List<String> handles) {
 		if (handles.isEmpty()) {
 			return;
 		}
-		String owner = dispatcher(service);
-		if (owner.equals(this.vm)) {
+		String dispatcher = dispatcher(service);
+		if (dispatcher.equals(this.vm)) {
 			this.drivers.release(service, handles);
 		}
 		else {
-			this.outbox.release(owner, service, handles);
+			this.outbox.release(dispatcher, service, handles);
 		}
 	}
 
 	@Override
 	public void onMessage(String from, Envelope message) {
 		switch (message.getBodyCase()) {
-			case PIECE_ASKS -> message.getPieceAsks().getAsksList().forEach((ask) -> onAsk(from, ask));
-			case PIECE_ANSWERS ->
-				message.getPieceAnswers().getAnswersList().forEach((answer) -> onAnswer(from, answer));
+			case PIECE_ASKS -> message.getPieceAsks().getAsksList().forEach((ask) -> onSubmission(from, ask));
+			case PIECE_ANSWERS -> message.getPieceAnswers().getAnswersList().forEach((answer) -> onReply(from, answer));
 			case PIECE_WITHDRAWALS -> message.getPieceWithdrawals().getWithdrawalsList().forEach(this::onWithdrawal);
 			case PIECE_RELEASES -> message.getPieceReleases()
 				.getReleasesList()
 				.forEach((release) -> this.drivers.release(release.getService(), release.getHandlesList()));
 			default -> {
-				// Messages of other programs and of newer versions are not for this
-				// service.
+				// Ignores messages for other handlers and of newer versions.
 			}
 		}
 	}
 
-	private void onAsk(String from, PieceAsk ask) {
-		askHere(PieceMessageCodec.decode(ask, this.loop.nowMs()), new RemoteAsker(from));
+	private void onSubmission(String from, PieceAsk ask) {
+		submitLocally(PieceMessageCodec.decode(ask, this.loop.nowMs()), new RemoteListener(from));
 	}
 
-	private void onAnswer(String from, PieceAnswer answer) {
+	private void onReply(String from, PieceAnswer answer) {
 		switch (answer.getStatus()) {
 			case INPUTS_READ -> Optional.ofNullable(this.outstanding.get(PieceMessageCodec.id(answer)))
-				.ifPresent((waiting) -> waiting.asker.onInputsRead(waiting.job.id()));
+				.ifPresent((piece) -> piece.listener.onInputsRead(piece.job.id()));
 			case HANDED_BACK -> onHandedBack(from, PieceMessageCodec.id(answer));
 			default -> onOutcome(answer);
 		}
 	}
 
-	// The VM that stops is not asked again, though its beats may not have told so yet.
+	// Marks the VM as draining first, so that the piece is not submitted to it again: its
+	// heartbeats may not have reported that yet.
 	private void onHandedBack(String from, PieceId id) {
 		this.mesh.ifPresent((peers) -> peers.onDraining(from));
-		Outstanding waiting = this.outstanding.get(id);
-		if (waiting != null && waiting.owner.equals(from)) {
+		RemotePiece piece = this.outstanding.get(id);
+		if (piece != null && piece.dispatcher.equals(from)) {
 			this.outstanding.remove(id);
-			dispatch(waiting.job, waiting.asker);
+			dispatch(piece.job, piece.listener);
 		}
 	}
 
 	private void onOutcome(PieceAnswer answer) {
 		PieceOutcome outcome = PieceMessageCodec.outcome(answer);
-		Outstanding waiting = this.outstanding.remove(PieceMessageCodec.id(answer));
-		if (waiting != null) {
-			waiting.asker.onOutcome(waiting.job.id(), outcome);
+		RemotePiece piece = this.outstanding.remove(PieceMessageCodec.id(answer));
+		if (piece != null) {
+			piece.listener.onOutcome(piece.job.id(), outcome);
 		}
 		else if (outcome.status() == PieceOutcome.Status.MADE) {
-			this.returns.give(List.of(outcome.handle()));
+			this.releaser.release(List.of(outcome.handle()));
 		}
 	}
 
@@ -266,25 +267,26 @@
 	}
 
 	/**
-	 * Hand the pools over to other VMs: no call is begun here any more, and pieces that
-	 * wait are asked for at the next VM at once. To be called when this VM drains.
+	 * Hand the pools over to other VMs: start no more calls, and return pending pieces to
+	 * their submitters, which submit them to the next dispatcher. To be called when this
+	 * VM drains.
 	 */
 	public void handOver() {
 		this.drivers.stop((service) -> !dispatcher(service).equals(this.vm));
 	}
 
 	@Override
-	public void onLost(String lost) {
-		for (Outstanding waiting : new ArrayList<>(this.outstanding.values())) {
-			if (waiting.owner.equals(lost)) {
-				this.outstanding.remove(waiting.job.id());
-				dispatch(waiting.job, waiting.asker);
+	public void onLost(String failed) {
+		for (RemotePiece piece : new ArrayList<>(this.outstanding.values())) {
+			if (piece.dispatcher.equals(failed)) {
+				this.outstanding.remove(piece.job.id());
+				dispatch(piece.job, piece.listener);
 			}
 		}
 	}
 
 	/**
-	 * Return how many pieces other VMs were asked for and have not answered.
+	 * Return the number of pieces submitted to other VMs that have no outcome yet.
 	 * @return the count
 	 */
 	public long outstanding() {
@@ -292,34 +294,35 @@
 	}
 
 	/**
-	 * Return whether no piece is asked for or being made here.
-	 * @return true if nothing is left to do
+	 * Return whether there are no pieces in progress, submitted by this VM or dispatched
+	 * here.
+	 * @return true if there are none
 	 */
 	public boolean idle() {
-		return this.outstanding.isEmpty() && this.held.isEmpty() && this.drivers.idle();
+		return this.outstanding.isEmpty() && this.unrouted.isEmpty() && this.drivers.idle();
 	}
 
-	/** Takes note of how long a piece took. */
-	private final class TimedAsker implements PieceListener {
+	/** Records the latency of a piece. */
+	private final class TimingListener implements PieceListener {
 
 		private final PieceJob job;
 
-		private final PieceListener asker;
+		private final PieceListener listener;
 
-		TimedAsker(PieceJob job, PieceListener asker) {
+		TimingListener(PieceJob job, PieceListener listener) {
 			this.job = job;
-			this.asker = asker;
+			this.listener = listener;
 		}
 
 		@Override
 		public void onOutcome(PieceId id, PieceOutcome outcome) {
-			PieceService.this.times.onOutcome(id, PieceService.this.loop.nowMs());
-			this.asker.onOutcome(id, outcome);
+			PieceService.this.latencies.onOutcome(id, PieceService.this.loop.nowMs());
+			this.listener.onOutcome(id, outcome);
 		}
 
 		@Override
 		public void onInputsRead(PieceId id) {
-			this.asker.onInputsRead(id);
+			this.listener.onInputsRead(id);
 		}
 
 		@Override
@@ -329,40 +332,40 @@
 
 	}
 
-	/** Tells another VM what becomes of a piece that it asked for. */
-	private final class RemoteAsker implements PieceListener {
+	/** Sends the outcome of a piece to the VM that submitted it. */
+	private final class RemoteListener implements PieceListener {
 
 		private final String vm;
 
-		RemoteAsker(String vm) {
+		RemoteListener(String vm) {
 			this.vm = vm;
 		}
 
 		@Override
 		public void onOutcome(PieceId id, PieceOutcome outcome) {
-			PieceService.this.outbox.answer(this.vm, PieceMessageCodec.encode(id, outcome));
+			PieceService.this.outbox.reply(this.vm, PieceMessageCodec.encode(id, outcome));
 		}
 
 		@Override
 		public void onInputsRead(PieceId id) {
-			PieceService.this.outbox.answer(this.vm, PieceMessageCodec.notice(id, PieceAnswer.Status.INPUTS_READ));
+			PieceService.this.outbox.reply(this.vm, PieceMessageCodec.notice(id, PieceAnswer.Status.INPUTS_READ));
 		}
 
 		@Override
 		public void onHandedBack(PieceId id) {
-			PieceService.this.outbox.answer(this.vm, PieceMessageCodec.notice(id, PieceAnswer.Status.HANDED_BACK));
+			PieceService.this.outbox.reply(this.vm, PieceMessageCodec.notice(id, PieceAnswer.Status.HANDED_BACK));
 		}
 
 	}
 
 	/**
-	 * A piece that another VM was asked for.
+	 * A piece that was submitted to another VM.
 	 *
 	 * @param job the piece
-	 * @param asker who waits for it here
-	 * @param owner the VM that was asked
+	 * @param listener the local listener for its outcome
+	 * @param dispatcher the name of the VM
 	 */
-	private record Outstanding(PieceJob job, PieceListener asker, String owner) {
+	private record RemotePiece(PieceJob job, PieceListener listener, String dispatcher) {
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/piece/PoolContext.java
+++ b/node/src/main/java/org/tallycart/node/piece/PoolContext.java
@@ -9,18 +9,19 @@
 import org.tallycart.node.statement.UpstreamStatements;
 
 /**
- * What all pools of a process share.
+ * Dependencies shared by all pools of a process.
  *
- * @param http makes calls of workers
+ * @param http the client for calls to workers
  * @param loop the event loop
- * @param log where decisions are written
- * @param returns takes results that nobody needs
- * @param crashes finds out which workers end under pieces
- * @param statements knows what workers have said of themselves
- * @param callLimit tells when a worker takes another call
- * @param metrics what is counted
+ * @param log the event log
+ * @param releaser releases results that are no longer needed
+ * @param crashDetector detects workers that crash while they run pieces
+ * @param statements the statements of workers about themselves
+ * @param callLimiter limits calls to workers
+ * @param metrics the metrics of the process
  * @since 0.1
  */
-public record PoolContext(HttpClient http, EventLoop loop, NodeLog log, ResultReleaser returns,
-		UpstreamCrashDetector crashes, UpstreamStatements statements, CallLimiter callLimit, NodeMetrics metrics) {
+public record PoolContext(HttpClient http, EventLoop loop, NodeLog log, ResultReleaser releaser,
+		UpstreamCrashDetector crashDetector, UpstreamStatements statements, CallLimiter callLimiter,
+		NodeMetrics metrics) {
 }
--- a/node/src/main/java/org/tallycart/node/piece/PoolDriver.java
+++ b/node/src/main/java/org/tallycart/node/piece/PoolDriver.java
@@ -26,56 +26,57 @@
 import org.tallycart.runtime.event.EventCode;
 
 /**
- * Makes the calls that a pool's dispatcher decides on.
+ * Executes the calls that the dispatcher of a pool decides on, and feeds it their
+ * results.
  * <p>
- * Not thread-safe: belongs to the event loop.
+ * Not thread-safe: confined to the event loop.
  */
 final class PoolDriver {
 
-	/** Time between two looks at overdue calls and late pieces, in milliseconds. */
+	/** Interval of the checks for overdue calls and late pieces, in milliseconds. */
 	static final long TICK_MS = 25;
 
-	/** A call is given up after this many times its expected length, plus a margin. */
-	private static final double GIVE_UP_FACTOR = 6;
+	/** Timeout of a call, as a multiple of its expected duration; a margin is added. */
+	private static final double CALL_TIMEOUT_FACTOR = 6;
 
-	private static final long GIVE_UP_MARGIN_MS = 1_000;
+	private static final long CALL_TIMEOUT_MARGIN_MS = 1_000;
 
 	private static final int CONNECT_TIMEOUT_MS = 300;
 
 	private final String service;
 
-	private final PoolContext parts;
+	private final PoolContext context;
 
 	private final PoolDispatcher dispatcher;
 
-	private boolean pumpPlanned;
+	private boolean dispatchScheduled;
 
-	PoolDriver(String service, PoolSpec spec, PoolContext parts) {
+	PoolDriver(String service, PoolSpec spec, PoolContext context) {
 		this.service = service;
-		this.parts = parts;
-		this.dispatcher = new PoolDispatcher(spec, parts.callLimit());
+		this.context = context;
+		this.dispatcher = new PoolDispatcher(spec, context.callLimiter());
 	}
 
 	void update(PoolSpec spec) {
 		this.dispatcher.updateSpec(spec);
-		planPump();
+		scheduleDispatch();
 	}
 
-	void updateWorkers(List<UpstreamEntry> workers, Set<String> evacuated) {
-		this.dispatcher.updateWorkers(workers, evacuated);
-		planPump();
+	void updateWorkers(List<UpstreamEntry> workers, Set<String> evacuatedDomains) {
+		this.dispatcher.updateWorkers(workers, evacuatedDomains);
+		scheduleDispatch();
 	}
 
-	void ask(PieceJob job, PieceListener asker) {
-		this.dispatcher.submit(job, asker);
-		planPump();
+	void submit(PieceJob job, PieceListener listener) {
+		this.dispatcher.submit(job, listener);
+		scheduleDispatch();
 	}
 
 	void release(List<String> handles) {
-		this.parts.returns().give(handles);
-		this.parts.loop().schedule(ResultReleaser.ROOM_BACK_MS, () -> {
+		this.context.releaser().release(handles);
+		this.context.loop().schedule(ResultReleaser.RELEASE_DELAY_MS, () -> {
 			this.dispatcher.release(handles);
-			planPump();
+			scheduleDispatch();
 		});
 	}
 
@@ -97,45 +98,45 @@
 
 	void tick() {
 		if (!idle()) {
-			this.dispatcher.tick(this.parts.loop().nowMs());
-			pump();
+			this.dispatcher.tick(this.context.loop().nowMs());
+			dispatchCalls();
 		}
 	}
 
-	// Pieces that are asked for together go into one call, so the pump runs after them.
-	private void planPump() {
-		if (!this.pumpPlanned) {
-			this.pumpPlanned = true;
-			this.parts.loop().execute(() -> {
-				this.pumpPlanned = false;
-				pump();
+	// Runs after the current event, so that pieces submitted together share a call.
+	private void scheduleDispatch() {
+		if (!this.dispatchScheduled) {
+			this.dispatchScheduled = true;
+			this.context.loop().execute(() -> {
+				this.dispatchScheduled = false;
+				dispatchCalls();
 			});
 		}
 	}
 
-	private void pump() {
+	private void dispatchCalls() {
 		while (true) {
-			Optional<PoolCall> call = this.dispatcher.nextCall(this.parts.loop().nowMs());
+			Optional<PoolCall> call = this.dispatcher.nextCall(this.context.loop().nowMs());
 			if (call.isEmpty()) {
 				return;
 			}
-			make(call.get());
+			start(call.get());
 		}
 	}
 
-	private void make(PoolCall call) {
+	private void start(PoolCall call) {
 		UpstreamEntry worker = call.worker();
-		this.parts.log()
+		this.context.log()
 			.event(EventCode.POOL_CALL_MADE, "service", this.service, "worker", worker.id(), "call", call.number(),
 					"pieces", call.jobs().size(), "waiting", this.dispatcher.queueSize(), "expected_ms",
 					Math.round(call.expectedMs()), "requests", requests(call));
-		this.parts.statements().onSend(worker);
+		this.context.statements().onSend(worker);
 		HttpExchange exchange = HttpExchange.to(worker.incarnation(), worker.address(), PieceCodec.runHead(worker))
 			.body(PieceCodec.runBody(call.jobs(), call.startedMs()))
 			.connectTimeoutMs(CONNECT_TIMEOUT_MS)
 			.build();
-		long timeoutMs = (long) (call.expectedMs() * GIVE_UP_FACTOR) + GIVE_UP_MARGIN_MS;
-		WholeReplyCall.start(this.parts.http(), this.parts.loop().executor(), exchange, timeoutMs,
+		long timeoutMs = (long) (call.expectedMs() * CALL_TIMEOUT_FACTOR) + CALL_TIMEOUT_MARGIN_MS;
+		WholeReplyCall.start(this.context.http(), this.context.loop().executor(), exchange, timeoutMs,
 				(outcome) -> onReply(call, outcome));
 	}
 
@@ -144,30 +145,32 @@
 	}
 
 	private void onReply(PoolCall call, Either<CallFailure, WholeReply> outcome) {
-		long now = this.parts.loop().nowMs();
+		long now = this.context.loop().nowMs();
 		if (outcome.isLeft()) {
 			CallFailure failure = outcome.getLeft();
 			logEnd(call, failure.kind() + ": " + failure.detail());
 			if (failure.sent()) {
-				call.jobs().forEach((job) -> this.parts.crashes().onInterrupted(call.worker(), cut(call, job)));
+				call.jobs()
+					.forEach(
+							(job) -> this.context.crashDetector().onInterrupted(call.worker(), interrupted(call, job)));
 			}
 			this.dispatcher.onFailure(call.number(), failure.sent(), now);
 		}
 		else {
 			onAnswer(call, outcome.get(), now);
 		}
-		planPump();
+		scheduleDispatch();
 	}
 
-	// A worker answers a call when all its pieces are made.
-	private static InterruptedRequest cut(PoolCall call, PieceJob job) {
+	// A worker replies only once all pieces are completed, so no reply had started.
+	private static InterruptedRequest interrupted(PoolCall call, PieceJob job) {
 		return new InterruptedRequest(new Suspect(job.fingerprint(), job.id().requestId(), call.startedMs()),
 				InterruptedRequest.NOT_ANSWERED);
 	}
 
 	private void onAnswer(PoolCall call, WholeReply reply, long now) {
 		UpstreamReply head = UpstreamCodec.decode(reply.head());
-		this.parts.statements().onReply(call.worker(), head);
+		this.context.statements().onReply(call.worker(), head);
 		Either<String, List<PieceOutcome>> outcomes = PieceCodec.outcomes(reply.head(), reply.body(),
 				call.jobs().size());
 		if (outcomes.isLeft()) {
@@ -175,17 +178,17 @@
 			this.dispatcher.onFailure(call.number(), !head.notRun(), now);
 			return;
 		}
-		long made = outcomes.get().stream().filter((o) -> o.status() == PieceOutcome.Status.MADE).count();
-		logEnd(call, "made " + made);
+		long completed = outcomes.get().stream().filter((o) -> o.status() == PieceOutcome.Status.MADE).count();
+		logEnd(call, "completed " + completed);
 		release(this.dispatcher.onAnswer(call.number(), outcomes.get(), now));
 	}
 
 	private void logEnd(PoolCall call, String outcome) {
-		this.parts.metrics().onPoolCall(call.jobs().size(), this.parts.loop().nowMs() - call.startedMs());
-		this.parts.log()
+		this.context.metrics().onPoolCall(call.jobs().size(), this.context.loop().nowMs() - call.startedMs());
+		this.context.log()
 			.event(EventCode.POOL_CALL_ENDED, "service", this.service, "worker", call.worker().id(), "call",
 					call.number(), "pieces", call.jobs().size(), "took_ms",
-					this.parts.loop().nowMs() - call.startedMs(), "outcome", outcome);
+					this.context.loop().nowMs() - call.startedMs(), "outcome", outcome);
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/piece/PoolDrivers.java
+++ b/node/src/main/java/org/tallycart/node/piece/PoolDrivers.java
@@ -15,14 +15,14 @@
 import org.tallycart.node.store.ActiveConfig;
 
 /**
- * The pools whose calls this VM makes, or has made.
+ * The drivers of all pools for which this VM is or was the dispatcher.
  * <p>
- * Invariant: a pool has one driver, made when it is first needed. Not thread-safe:
- * belongs to the event loop.
+ * Invariant: a pool has at most one driver, created on first use. Not thread-safe:
+ * confined to the event loop.
  */
 final class PoolDrivers {
 
-	private final PoolContext parts;
+	private final PoolContext context;
 
 	private final ActiveConfig config;
 
@@ -30,27 +30,27 @@
 
 	private final Map<String, PoolDriver> drivers = new HashMap<>();
 
-	PoolDrivers(PoolContext parts, ActiveConfig config, UpstreamDirectory directory) {
-		this.parts = parts;
+	PoolDrivers(PoolContext context, ActiveConfig config, UpstreamDirectory directory) {
+		this.context = context;
 		this.config = config;
 		this.directory = directory;
 	}
 
-	// Empty for a pool that the configuration does not name.
+	// Returns the driver of a pool; empty if the pool is not configured.
 	Optional<PoolDriver> driver(String service) {
-		PoolDriver known = this.drivers.get(service);
-		if (known != null) {
-			return Optional.of(known);
+		PoolDriver existing = this.drivers.get(service);
+		if (existing != null) {
+			return Optional.of(existing);
 		}
-		return spec(service).map((spec) -> make(service, spec));
+		return spec(service).map((spec) -> create(service, spec));
 	}
 
-	private PoolDriver make(String service, PoolSpec spec) {
-		PoolDriver fresh = new PoolDriver(service, spec, this.parts);
-		update(fresh, service, spec);
-		this.parts.loop().scheduleWithFixedDelay(PoolDriver.TICK_MS, fresh::tick);
-		this.drivers.put(service, fresh);
-		return fresh;
+	private PoolDriver create(String service, PoolSpec spec) {
+		PoolDriver driver = new PoolDriver(service, spec, this.context);
+		update(driver, service, spec);
+		this.context.loop().scheduleWithFixedDelay(PoolDriver.TICK_MS, driver::tick);
+		this.drivers.put(service, driver);
+		return driver;
 	}
 
 	private Optional<PoolSpec> spec(String service) {
@@ -61,14 +61,12 @@
 		return this.directory.activeUpstreams(service).stream().map((state) -> state.entry()).toList();
 	}
 
-	// The configuration or the list of upstreams has changed.
-	void onChange() {
+	// Applies a change of the configuration or of the upstreams.
+	void refresh() {
 		this.drivers.forEach((service, driver) -> spec(service).ifPresent((spec) -> update(driver, service, spec)));
 	}
 
-	// Before it is known which workers there are, and which failure domains are
-	// evacuated,
-	// pieces wait.
+	// Pieces stay pending until the workers and the evacuated failure domains are known.
 	private void update(PoolDriver driver, String service, PoolSpec spec) {
 		driver.update(spec);
 		if (this.directory.isLoaded()) {
@@ -76,8 +74,8 @@
 		}
 	}
 
-	// Does something with a pool that this VM makes calls of, and nothing else.
-	void ifMade(String service, Consumer<PoolDriver> action) {
+	// Runs an action if the pool has a driver.
+	void ifPresent(String service, Consumer<PoolDriver> action) {
 		Optional.ofNullable(this.drivers.get(service)).ifPresent(action);
 	}
 
@@ -87,17 +85,17 @@
 			driver.release(handles);
 		}
 		else {
-			this.parts.returns().give(handles);
+			this.context.releaser().release(handles);
 		}
 	}
 
 	void withdraw(String service, PieceId id) {
-		ifMade(service, (driver) -> driver.withdraw(id));
+		ifPresent(service, (driver) -> driver.withdraw(id));
 	}
 
-	void stop(Predicate<String> services) {
+	void stop(Predicate<String> filter) {
 		this.drivers.forEach((service, driver) -> {
-			if (services.test(service)) {
+			if (filter.test(service)) {
 				driver.stop();
 			}
 		});
--- a/node/src/main/java/org/tallycart/node/piece/ResultReleaser.java
+++ b/node/src/main/java/org/tallycart/node/piece/ResultReleaser.java
@@ -16,35 +16,35 @@
 import org.tallycart.platform.http.PieceCodec;
 
 /**
- * Gives results back to their makers, a few at a time. A maker drops results of its own
- * accord after some seconds, so a call that fails is not repeated.
+ * Releases results at the workers that hold them, in batches. Workers expire results by
+ * themselves after some seconds, so a failed call is not retried.
  * <p>
- * Not thread-safe: belongs to the event loop.
+ * Not thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
 public final class ResultReleaser {
 
 	/**
-	 * How long results are collected for one call, in milliseconds: they hold room
-	 * meanwhile.
+	 * Time for which results are collected into one call, in milliseconds; they occupy
+	 * result memory meanwhile.
 	 */
-	private static final long COLLECT_MS = 5;
+	private static final long BATCH_DELAY_MS = 5;
 
 	/**
-	 * When a maker has the room again, in milliseconds: the collecting, and the way
-	 * there.
+	 * Time until a worker's result memory is free, in milliseconds: the batch delay and
+	 * the network latency.
 	 */
-	static final long ROOM_BACK_MS = COLLECT_MS + 4;
+	static final long RELEASE_DELAY_MS = BATCH_DELAY_MS + 4;
 
-	/** Calls that take longer are given up, in milliseconds. */
+	/** Timeout of a release call, in milliseconds. */
 	private static final long TIMEOUT_MS = 1_000;
 
 	/**
-	 * Results of a maker that rests for longer are not given back, in milliseconds: it
-	 * drops them before that.
+	 * Longest backoff of a worker after which results are released, in milliseconds; by
+	 * the end of a longer one the worker has expired them.
 	 */
-	private static final long LONGEST_HOLD_MS = 10_000;
+	private static final long MAX_DEFERRAL_MS = 10_000;
 
 	private final HttpClient http;
 
@@ -52,13 +52,13 @@
 
 	private final UpstreamDirectory directory;
 
-	private final Map<Address, List<String>> collected = new HashMap<>();
+	private final Map<Address, List<String>> batches = new HashMap<>();
 
 	/**
-	 * Create an empty collection.
-	 * @param http makes the calls
+	 * Create a releaser.
+	 * @param http the client for calls to workers
 	 * @param loop the event loop
-	 * @param directory knows which makers still exist
+	 * @param directory the workers that exist
 	 */
 	public ResultReleaser(HttpClient http, EventLoop loop, UpstreamDirectory directory) {
 		this.http = http;
@@ -67,53 +67,51 @@
 	}
 
 	/**
-	 * Give results back.
-	 * @param handles the results
+	 * Release results at their workers, asynchronously and without a guarantee.
+	 * @param handles the handles of the results
 	 */
-	public void give(List<String> handles) {
+	public void release(List<String> handles) {
 		for (String handle : handles) {
-			PieceCodec.maker(handle).peek((maker) -> collect(maker, handle));
+			PieceCodec.maker(handle).peek((worker) -> addToBatch(worker, handle));
 		}
 	}
 
-	private void collect(Address maker, String handle) {
-		if (this.collected.isEmpty()) {
-			this.loop.schedule(COLLECT_MS, this::flush);
+	private void addToBatch(Address worker, String handle) {
+		if (this.batches.isEmpty()) {
+			this.loop.schedule(BATCH_DELAY_MS, this::flush);
 		}
-		this.collected.computeIfAbsent(maker, (key) -> new ArrayList<>()).add(handle);
+		this.batches.computeIfAbsent(worker, (key) -> new ArrayList<>()).add(handle);
 	}
 
 	private void flush() {
-		Map<Address, List<String>> all = new HashMap<>(this.collected);
-		this.collected.clear();
-		all.forEach(this::sendOrHold);
+		Map<Address, List<String>> due = new HashMap<>(this.batches);
+		this.batches.clear();
+		due.forEach(this::sendOrDefer);
 	}
 
-	// A maker that rests wants no call of any kind; it gets no pieces meanwhile either,
-	// so
-	// nobody waits for the room.
-	private void sendOrHold(Address maker, List<String> handles) {
-		Optional<UpstreamState> present = this.directory.findByAddress(maker);
-		if (present.isEmpty()) {
+	// A worker in backoff gets no call of any kind. It gets no pieces either, so nothing
+	// waits for its result memory.
+	private void sendOrDefer(Address worker, List<String> handles) {
+		Optional<UpstreamState> state = this.directory.findByAddress(worker);
+		if (state.isEmpty()) {
 			return;
 		}
-		long restMs = this.directory.unavailability()
-			.remainingBackoffMs(present.get().entry().incarnation(), this.loop.nowMs());
-		if (restMs == 0) {
-			send(present.get(), maker, handles);
+		long backoffMs = this.directory.unavailability()
+			.remainingBackoffMs(state.get().entry().incarnation(), this.loop.nowMs());
+		if (backoffMs == 0) {
+			send(state.get(), worker, handles);
 		}
-		else if (restMs <= LONGEST_HOLD_MS) {
-			this.loop.schedule(restMs, () -> sendOrHold(maker, handles));
+		else if (backoffMs <= MAX_DEFERRAL_MS) {
+			this.loop.schedule(backoffMs, () -> sendOrDefer(worker, handles));
 		}
 	}
 
-	private void send(UpstreamState present, Address maker, List<String> handles) {
-		HttpExchange exchange = HttpExchange
-			.to(present.entry().incarnation(), maker, PieceCodec.freeHead(present.entry()))
+	private void send(UpstreamState state, Address worker, List<String> handles) {
+		HttpExchange exchange = HttpExchange.to(state.entry().incarnation(), worker, PieceCodec.freeHead(state.entry()))
 			.body(PieceCodec.freeBody(handles))
 			.build();
 		WholeReplyCall.start(this.http, this.loop.executor(), exchange, TIMEOUT_MS, (outcome) -> {
-			// Lost or refused: the maker drops the results by itself.
+			// Nothing to do on failure: the worker expires the results by itself.
 		});
 	}
 
--- a/node/src/main/java/org/tallycart/node/piece/UnroutedPieces.java
+++ b/node/src/main/java/org/tallycart/node/piece/UnroutedPieces.java
@@ -11,57 +11,57 @@
 import org.tallycart.core.pool.PieceListener;
 
 /**
- * Pieces that wait for it to be known which VM dispatches their pool.
+ * Pieces that wait until the dispatcher of their pool is known.
  * <p>
- * When all VMs start at once, each knows the others some hundred milliseconds later than
- * its first callers come. Were each to dispatch its own pieces until then, a pool would
- * get as many calls of one piece as there are VMs: at 95 VMs, seconds of its time.
+ * Guards against overload when all VMs start at once: before a VM knows the others, it
+ * would dispatch its own pieces, and the pool would get many small calls instead of a few
+ * batches.
  * <p>
- * Invariant: a piece that is held is taken or withdrawn once, after {@link #LONGEST_MS}
- * at most. Not thread-safe: belongs to the event loop.
+ * Invariant: a piece is taken or withdrawn once, and is due after {@link #MAX_WAIT_MS} at
+ * the latest. Not thread-safe: confined to the event loop.
  */
 final class UnroutedPieces {
 
 	/**
-	 * How long a piece is held at most, in milliseconds: a VM that starts at the same
-	 * time has answered its second question by then, and one that does not is down.
+	 * Longest time for which a piece waits, in milliseconds; a VM that starts at the same
+	 * time has replied to its second heartbeat request by then.
 	 */
-	static final long LONGEST_MS = 300;
+	static final long MAX_WAIT_MS = 300;
 
-	private final Map<PieceId, UnroutedPiece> held = new LinkedHashMap<>();
+	private final Map<PieceId, UnroutedPiece> pieces = new LinkedHashMap<>();
 
-	void hold(PieceJob job, PieceListener asker, long nowMs) {
-		this.held.put(job.id(), new UnroutedPiece(job, asker, nowMs + LONGEST_MS));
+	void add(PieceJob job, PieceListener listener, long nowMs) {
+		this.pieces.put(job.id(), new UnroutedPiece(job, listener, nowMs + MAX_WAIT_MS));
 	}
 
 	boolean withdraw(PieceId id) {
-		return this.held.remove(id) != null;
+		return this.pieces.remove(id) != null;
 	}
 
-	// Takes the pieces whose pool has a known dispatcher, and those that waited enough.
-	List<UnroutedPiece> takeDue(Predicate<String> settled, long nowMs) {
+	// Removes and returns the pieces whose dispatcher is known or whose wait is over.
+	List<UnroutedPiece> takeDue(Predicate<String> isDispatcherKnown, long nowMs) {
 		List<UnroutedPiece> due = new ArrayList<>();
-		for (UnroutedPiece each : this.held.values()) {
-			if (nowMs >= each.untilMs() || settled.test(each.job().service())) {
-				due.add(each);
+		for (UnroutedPiece piece : this.pieces.values()) {
+			if (nowMs >= piece.deadlineMs() || isDispatcherKnown.test(piece.job().service())) {
+				due.add(piece);
 			}
 		}
-		due.forEach((each) -> this.held.remove(each.job().id()));
+		due.forEach((piece) -> this.pieces.remove(piece.job().id()));
 		return due;
 	}
 
 	boolean isEmpty() {
-		return this.held.isEmpty();
+		return this.pieces.isEmpty();
 	}
 
 	/**
-	 * A piece that is held.
+	 * A piece whose dispatcher is not known yet.
 	 *
 	 * @param job the piece
-	 * @param asker who waits for it
-	 * @param untilMs when it is asked for all the same, on the steady clock
+	 * @param listener the listener for its outcome
+	 * @param deadlineMs when it is dispatched anyway, on the monotonic clock
 	 */
-	record UnroutedPiece(PieceJob job, PieceListener asker, long untilMs) {
+	record UnroutedPiece(PieceJob job, PieceListener listener, long deadlineMs) {
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/piece/package-info.java
+++ b/node/src/main/java/org/tallycart/node/piece/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Stage work: pieces of all VMs meet at one dispatcher a pool, which is chosen by
- * rendezvous hash over the live VMs. A piece may be made twice, so a doubled ask is safe.
+ * Execution of stages: the pieces of all VMs go to one dispatcher per pool, which is
+ * elected by rendezvous hashing over the live VMs. Pieces may run twice, so duplicate
+ * submissions are safe.
  */
 @NullMarked
 package org.tallycart.node.piece;
--- a/node/src/test/java/org/tallycart/node/piece/PoolDriversTests.java
+++ b/node/src/test/java/org/tallycart/node/piece/PoolDriversTests.java
@@ -26,7 +26,7 @@
 import static org.testng.Assert.assertEquals;
 
 /**
- * Tests for pools at a VM that has just started.
+ * Tests for {@link PoolDrivers}.
  */
 public class PoolDriversTests {
 
@@ -34,9 +34,9 @@
 
 	private static final PoolSpec SPEC = new PoolSpec(1, 2, 4, 200, 10, 1_000_000, 4_000);
 
-	/** Pattern: a VM is asked for pieces before it has read which workers there are. */
+	/** Guards against failing pieces before the list of workers is loaded. */
 	@Test
-	void piecesWaitUntilTheWorkersAreKnown() {
+	void piecesStayPendingUntilWorkersAreKnown() {
 		EmbeddedChannel channel = new EmbeddedChannel();
 		EventLoop loop = new EventLoop(channel.eventLoop(), Guard.install((code, detail) -> {
 			throw new IllegalStateException(detail);
@@ -44,22 +44,22 @@
 		NodeLog log = new NodeLog(() -> 0);
 		UpstreamDirectory directory = new UpstreamDirectory();
 		HttpClient http = HttpClient.create(channel.eventLoop(), () -> 0);
-		ResultReleaser returns = new ResultReleaser(http, loop, directory);
+		ResultReleaser releaser = new ResultReleaser(http, loop, directory);
 		PoolDrivers drivers = new PoolDrivers(
-				new PoolContext(http, loop, log, returns, null, null, CallLimiter.NONE, new NodeMetrics()), config(log),
-				directory);
-		List<PieceOutcome> heard = new ArrayList<>();
+				new PoolContext(http, loop, log, releaser, null, null, CallLimiter.NONE, new NodeMetrics()),
+				config(log), directory);
+		List<PieceOutcome> outcomes = new ArrayList<>();
 		PieceJob job = PieceJob.builder(new PieceId("r", 0, 0), POOL)
 			.source("k", List.of())
 			.dueBy(3_000, 5_000)
 			.build();
-		drivers.driver(POOL).orElseThrow().ask(job, (id, outcome) -> heard.add(outcome));
+		drivers.driver(POOL).orElseThrow().submit(job, (id, outcome) -> outcomes.add(outcome));
 		channel.runPendingTasks();
-		assertEquals(heard, List.of());
+		assertEquals(outcomes, List.of());
 		directory.replace(List.of(), 0);
-		drivers.onChange();
+		drivers.refresh();
 		channel.runPendingTasks();
-		assertEquals(heard.stream().map(PieceOutcome::status).toList(), List.of(PieceOutcome.Status.NO_WORKER));
+		assertEquals(outcomes.stream().map(PieceOutcome::status).toList(), List.of(PieceOutcome.Status.NO_WORKER));
 		channel.close();
 	}
 
