--- a/node/src/main/java/org/tallycart/node/peer/DistributionTree.java
+++ b/node/src/main/java/org/tallycart/node/peer/DistributionTree.java
@@ -6,45 +6,47 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * The way on which VMs learn what the platform's store says, used for what has to reach
- * all of them without it. Called on the event loop.
+ * The tree by which VMs distribute the contents of the platform's store, also used for
+ * messages that have to reach all VMs while the store is unavailable. The VM at the root
+ * reads the store; every other VM subscribes to its source. Called on the event loop.
  *
  * @since 0.1
  */
 public interface DistributionTree {
 
 	/**
-	 * Return the VM that this one is told by.
-	 * @return its name; empty before there is one
+	 * Return the VM to which this VM subscribes.
+	 * @return the name of the VM; empty while there is none
 	 */
 	String source();
 
 	/**
-	 * Return whether this VM reads the store itself, and so is told by no other.
-	 * @return true if it does
+	 * Return whether this VM reads the store itself, and so has no source.
+	 * @return true if this VM reads the store
 	 */
 	boolean readsStore();
 
 	/**
-	 * Return the VM that should read the store, as this VM sees it.
-	 * @return its name; this VM's own if it knows no other
+	 * Return the VM that should read the store, in the view of this VM.
+	 * @return the name of the VM; this VM's own name if no other is known
 	 */
 	String storeReader();
 
 	/**
-	 * Return the VMs that pass on news in each failure domain, or would next.
-	 * @return their names, without this VM's
+	 * Return the VMs that are ranked first for reading the store and for relaying its
+	 * contents in each failure domain.
+	 * @return the names of the VMs, without this VM
 	 */
 	Set<String> relays();
 
 	/**
-	 * Hear of VMs that begin to be told by this one.
-	 * @param listener takes their names, before they are told anything
+	 * Add a listener for new subscribers of this VM.
+	 * @param listener receives the name of each, before anything is sent to it
 	 */
 	void onSubscriber(Consumer<String> listener);
 
 	/**
-	 * Send a message to the VMs that are told by this one.
+	 * Send a message to the subscribers of this VM.
 	 * @param message the message
 	 */
 	void sendToSubscribers(Envelope message);
--- a/node/src/main/java/org/tallycart/node/peer/HeartbeatHandler.java
+++ b/node/src/main/java/org/tallycart/node/peer/HeartbeatHandler.java
@@ -4,38 +4,38 @@
 import org.tallycart.wire.message.NodeBeat;
 
 /**
- * Adds to the questions and answers by which VMs keep in touch, and hears of them. Called
- * on the event loop.
+ * Handles the content of heartbeats between VMs, and the store contents that VMs relay to
+ * each other. Called on the event loop.
  *
  * @since 0.1
  */
 public interface HeartbeatHandler {
 
 	/**
-	 * Add to a question before it is sent.
-	 * @param vm the VM that is asked
-	 * @param question the question
+	 * Complete a heartbeat request before it is sent.
+	 * @param vm the name of the receiving VM
+	 * @param request the request
 	 */
-	void prepareRequest(String vm, NodeBeat.Builder question);
+	void prepareRequest(String vm, NodeBeat.Builder request);
 
 	/**
-	 * Take a question, and add to the answer.
-	 * @param vm the VM that asks
-	 * @param question its question
-	 * @param answer the answer
+	 * Handle a heartbeat request, and complete the reply to it.
+	 * @param vm the name of the requesting VM
+	 * @param request the request
+	 * @param reply the reply
 	 */
-	void onRequest(String vm, NodeBeat question, NodeBeat.Builder answer);
+	void onRequest(String vm, NodeBeat request, NodeBeat.Builder reply);
 
 	/**
-	 * Take an answer.
-	 * @param vm the VM that answers
-	 * @param answer its answer
+	 * Handle a heartbeat reply.
+	 * @param vm the name of the replying VM
+	 * @param reply the reply
 	 */
-	void onReply(String vm, NodeBeat answer);
+	void onReply(String vm, NodeBeat reply);
 
 	/**
-	 * Take objects of the store that another VM passes on.
-	 * @param update the objects
+	 * Handle store contents that another VM relays.
+	 * @param update the contents
 	 */
 	void onFeedUpdate(FeedUpdate update);
 
--- a/node/src/main/java/org/tallycart/node/peer/NoticeDistributor.java
+++ b/node/src/main/java/org/tallycart/node/peer/NoticeDistributor.java
@@ -8,136 +8,139 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * Spreads one kind of news to all VMs without the platform's store: up the way on which
- * the store's news come down, to the VM that reads the store, and from there down to all.
+ * Distributes one kind of notice to all VMs without the platform's store: sends reports
+ * up the {@link DistributionTree} to the VM that reads the store, which collects them and
+ * sends notices down to all VMs.
  * <p>
- * Where several VMs read the store, as in its outages, the others tell the first of them
- * too, which answers. Not thread-safe: belongs to the event loop.
+ * If several VMs read the store, as during its outages, they report to the one that is
+ * ranked first, which replies to them. Not thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
 public final class NoticeDistributor {
 
 	/**
-	 * VMs that have told this one and are answered, at most; more ask whom they follow.
+	 * Limit of the VMs to which notices are sent because they sent reports; others get
+	 * notices from their source.
 	 */
-	private static final int MOST_REPORTERS = 64;
+	private static final int MAX_REPORTERS = 64;
 
 	private final String vm;
 
-	private final DistributionTree path;
+	private final DistributionTree tree;
 
 	private final Set<String> reporters = new LinkedHashSet<>();
 
 	private Optional<PeerMesh> mesh = Optional.empty();
 
-	private String told = "";
+	private String lastReceiver = "";
 
 	/**
-	 * Create the spread of one kind of news.
+	 * Create a distributor for one kind of notice.
 	 * @param vm this VM's name
-	 * @param path the way to the VM that reads the store
+	 * @param tree the distribution tree
 	 */
-	public NoticeDistributor(String vm, DistributionTree path) {
+	public NoticeDistributor(String vm, DistributionTree tree) {
 		this.vm = vm;
-		this.path = path;
+		this.tree = tree;
 	}
 
 	/**
-	 * Begin to work with other VMs.
-	 * @param peers the other VMs
+	 * Start to send messages to other VMs.
+	 * @param peers the connections to the other VMs
 	 */
 	public void start(PeerMesh peers) {
 		this.mesh = Optional.of(peers);
 	}
 
 	/**
-	 * Hear of VMs that begin to be told by this one.
-	 * @param listener takes their names, before they are told anything
+	 * Add a listener for new subscribers of this VM.
+	 * @param listener receives the name of each, before anything is sent to it
 	 */
 	public void onSubscriber(Consumer<String> listener) {
-		this.path.onSubscriber(listener);
+		this.tree.onSubscriber(listener);
 	}
 
 	/**
-	 * Return whether news are gathered here.
+	 * Return whether this VM collects reports.
 	 * @return true if this VM reads the store
 	 */
 	public boolean collectsReports() {
-		return this.path.readsStore();
+		return this.tree.readsStore();
 	}
 
 	/**
-	 * Send news to the VM that gathers them, or one that is nearer to it.
-	 * @param message the news
+	 * Send a report towards the VM that collects reports.
+	 * @param message the report
 	 */
 	public void sendUp(Envelope.Builder message) {
-		String above = above();
-		if (!above.isEmpty()) {
-			this.mesh.ifPresent((peers) -> peers.send(above, message));
+		String receiver = findReceiver();
+		if (!receiver.isEmpty()) {
+			this.mesh.ifPresent((peers) -> peers.send(receiver, message));
 		}
 	}
 
-	// Empty where this VM gathers.
-	private String above() {
-		String above = this.path.readsStore() ? this.path.storeReader() : this.path.source();
-		return above.equals(this.vm) ? "" : above;
+	// Returns the VM that gets this VM's reports; empty if this VM is the one to collect.
+	private String findReceiver() {
+		String receiver = this.tree.readsStore() ? this.tree.storeReader() : this.tree.source();
+		return receiver.equals(this.vm) ? "" : receiver;
 	}
 
 	/**
-	 * Send news to all VMs that look to this one. While the store is away several VMs may
-	 * read it that do not follow each other: they are told, too.
-	 * @param message the news
+	 * Send a notice to all subscribers and reporters of this VM. A VM that reads the
+	 * store also sends it to all relays: during an outage several VMs may read the store
+	 * that do not subscribe to each other.
+	 * @param message the notice
 	 */
 	public void sendDown(Envelope.Builder message) {
-		this.path.sendToSubscribers(message.build());
-		if (this.path.readsStore()) {
-			this.mesh.ifPresent((peers) -> this.path.relays().forEach((relay) -> peers.send(relay, message.clone())));
+		this.tree.sendToSubscribers(message.build());
+		if (this.tree.readsStore()) {
+			this.mesh.ifPresent((peers) -> this.tree.relays().forEach((relay) -> peers.send(relay, message.clone())));
 		}
 		this.reporters.forEach((reporter) -> sendTo(reporter, message.clone()));
 	}
 
 	/**
-	 * Send news to one VM that looks to this one.
-	 * @param follower the VM
-	 * @param message the news
+	 * Send a notice to one subscriber.
+	 * @param subscriber the name of the VM
+	 * @param message the notice
 	 */
-	public void sendTo(String follower, Envelope.Builder message) {
-		this.mesh.ifPresent((peers) -> peers.reply(follower, message));
+	public void sendTo(String subscriber, Envelope.Builder message) {
+		this.mesh.ifPresent((peers) -> peers.reply(subscriber, message));
 	}
 
 	/**
-	 * Take note that a VM has sent news here, and so may have to be told others.
-	 * @param from the VM
+	 * Add a VM that sent a report to this one, and so gets notices from it.
+	 * @param reporter the name of the VM
 	 */
-	public void addReporter(String from) {
-		if (this.reporters.size() < MOST_REPORTERS) {
-			this.reporters.add(from);
+	public void addReporter(String reporter) {
+		if (this.reporters.size() < MAX_REPORTERS) {
+			this.reporters.add(reporter);
 		}
 	}
 
 	/**
-	 * Return whether another VM than before is to be told, which knows nothing of what
-	 * the former one was told. To be called now and then.
+	 * Return whether the receiver of this VM's reports has changed, so that earlier
+	 * reports have to be sent again. To be called periodically.
 	 * @return true once after each change
 	 */
 	public boolean takeReceiverChange() {
-		String above = above();
-		if (above.equals(this.told)) {
+		String receiver = findReceiver();
+		if (receiver.equals(this.lastReceiver)) {
 			return false;
 		}
-		this.told = above;
+		this.lastReceiver = receiver;
 		return true;
 	}
 
 	/**
-	 * Take note that a VM is not heard any more, or has started anew.
-	 * @param lost the VM
+	 * Handle the failure or the restart of another VM.
+	 * @param failed the name of the VM
 	 */
-	public void onLost(String lost) {
-		this.reporters.remove(lost);
-		if (lost.equals(this.told)) {
-			this.told = "";
+	public void onLost(String failed) {
+		this.reporters.remove(failed);
+		if (failed.equals(this.lastReceiver)) {
+			this.lastReceiver = "";
 		}
 	}
 
--- a/node/src/main/java/org/tallycart/node/peer/PeerMesh.java
+++ b/node/src/main/java/org/tallycart/node/peer/PeerMesh.java
@@ -23,18 +23,18 @@
 import org.tallycart.wire.message.NodeBeat;
 
 /**
- * Carries messages between VMs, and asks those that hold a duty, and the next in rank,
- * whether they live. An answer comes back on the connection of its question, so it shows
- * that the path is whole both ways.
+ * Sends messages between VMs, and detects failures of the leaders and their standbys by
+ * heartbeats. A heartbeat reply is sent on the connection of its request, so it confirms
+ * both directions.
  * <p>
- * Invariant: a VM that does not answer gets nothing new, and its connection is made anew
- * before it counts as live again. Not thread-safe: belongs to the event loop.
+ * Invariant: a VM that does not reply is not used as a leader, and its connection is
+ * reopened before it counts as live again. Not thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
 public final class PeerMesh {
 
-	/** Time between two looks at who has to be asked, in milliseconds. */
+	/** Interval of the checks for due heartbeats and failed VMs, in milliseconds. */
 	private static final long TICK_MS = 100;
 
 	private final LeaderTable table;
@@ -45,173 +45,177 @@
 
 	private final NodeLog log;
 
-	private final PeerMessageHandler messages;
+	private final PeerMessageHandler messageHandler;
 
-	private final HeartbeatHandler beats;
+	private final HeartbeatHandler heartbeatHandler;
 
 	private final Map<Address, WireClient> clients = new HashMap<>();
 
-	private final Map<String, WirePeer> askers = new HashMap<>();
+	private final Map<String, WirePeer> inboundPeers = new HashMap<>();
 
-	private final PeerReachability heard;
+	private final PeerReachability reachability;
 
 	/**
 	 * Create a mesh.
 	 * @param vm this VM's name
-	 * @param transport carries messages on the event loop
+	 * @param transport the transport; has to use the event loop
 	 * @param loop the event loop
-	 * @param log where changes are written
-	 * @param messages takes what is not a beat
-	 * @param beats adds to beats
+	 * @param log the event log
+	 * @param messageHandler the handler of messages other than heartbeats and store
+	 * contents
+	 * @param heartbeatHandler the handler of heartbeats and store contents
 	 */
-	public PeerMesh(String vm, WireTransport transport, EventLoop loop, NodeLog log, PeerMessageHandler messages,
-			HeartbeatHandler beats) {
+	public PeerMesh(String vm, WireTransport transport, EventLoop loop, NodeLog log, PeerMessageHandler messageHandler,
+			HeartbeatHandler heartbeatHandler) {
 		this.table = new LeaderTable(vm);
 		this.transport = transport;
 		this.loop = loop;
 		this.log = log;
-		this.messages = messages;
-		this.beats = beats;
-		this.heard = new PeerReachability(loop.nowMs());
+		this.messageHandler = messageHandler;
+		this.heartbeatHandler = heartbeatHandler;
+		this.reachability = new PeerReachability(loop.nowMs());
 	}
 
-	/** Begin to keep in touch. */
+	/** Start to send heartbeats. */
 	public void start() {
 		this.loop.scheduleWithFixedDelay(TICK_MS, this::tick);
 	}
 
 	/**
-	 * Take the VMs that may exist.
-	 * @param records what they tell of themselves
+	 * Replace the records of the VMs that may exist.
+	 * @param records the records of all VMs
 	 */
 	public void updateRecords(Collection<VmRecord> records) {
 		this.table.updateRecords(records);
 	}
 
 	/**
-	 * Take the duties that matter to this VM.
-	 * @param duties all of them
+	 * Set the leader roles whose leaders this VM monitors.
+	 * @param roles all such roles
 	 */
-	public void setWatchedRoles(Collection<LeaderRole> duties) {
-		this.table.setWatchedRoles(duties);
+	public void setWatchedRoles(Collection<LeaderRole> roles) {
+		this.table.setWatchedRoles(roles);
 	}
 
 	/**
-	 * Return the VM that holds a duty, as this VM sees it.
-	 * @param duty the duty
-	 * @return the VM's name; this VM's if it knows no other that works
+	 * Return the leader for a role, in the view of this VM.
+	 * @param role the role
+	 * @return the name of the VM; this VM's own name if no other is known to be live and
+	 * not draining
 	 */
-	public String holder(LeaderRole duty) {
-		return this.table.leader(duty);
+	public String holder(LeaderRole role) {
+		return this.table.leader(role);
 	}
 
 	/**
-	 * Return the VMs that come first for passing on what the store says.
-	 * @param count how many for each failure domain, and for reading the store
-	 * @return their names
+	 * Return the VMs that are ranked first for reading the store and for relaying its
+	 * contents.
+	 * @param count the number of VMs for reading the store, and for each failure domain
+	 * @return the names of the VMs, without this VM
 	 */
 	public Set<String> preferredSources(int count) {
 		return this.table.preferredSources(count);
 	}
 
 	/**
-	 * Return who holds each duty, as this VM sees it.
-	 * @return a view that follows what this VM learns
+	 * Return the leaders for all roles, in the view of this VM.
+	 * @return a live view
 	 */
 	public LeaderView duties() {
 		return this.table;
 	}
 
 	private void tick() {
-		this.table.detectFailures(this.loop.nowMs()).forEach((vm) -> lose(vm, "silent"));
-		this.table.dueHeartbeats(this.loop.nowMs()).forEach(this::ask);
+		this.table.detectFailures(this.loop.nowMs()).forEach((vm) -> onPeerFailed(vm, "unresponsive"));
+		this.table.dueHeartbeats(this.loop.nowMs()).forEach(this::sendHeartbeat);
 	}
 
-	private void ask(VmRecord record) {
-		NodeBeat.Builder question = NodeBeat.newBuilder().setDraining(this.table.isDraining());
-		this.beats.prepareRequest(record.vm(), question);
-		client(record).send(Envelope.newBuilder().setNodeBeat(question));
+	private void sendHeartbeat(VmRecord record) {
+		NodeBeat.Builder request = NodeBeat.newBuilder().setDraining(this.table.isDraining());
+		this.heartbeatHandler.prepareRequest(record.vm(), request);
+		client(record).send(Envelope.newBuilder().setNodeBeat(request));
 	}
 
 	private WireClient client(VmRecord record) {
 		return this.clients.computeIfAbsent(record.address(),
-				(address) -> this.transport.client(address, new Inbound(record.vm())));
+				(address) -> this.transport.client(address, new OutboundListener(record.vm())));
 	}
 
-	// The connection may be dead without having been closed, so it is made anew.
-	private void lose(String vm, String reason) {
+	// Closes the connection, which may be broken without having been closed.
+	private void onPeerFailed(String vm, String reason) {
 		this.log.event(EventCode.VM_LOST, "vm", vm, "reason", reason);
-		this.heard.onPeerLost(this.loop.nowMs());
+		this.reachability.onPeerLost(this.loop.nowMs());
 		this.table.record(vm).map((record) -> this.clients.get(record.address())).ifPresent(WireClient::cut);
-		this.messages.onLost(vm);
+		this.messageHandler.onLost(vm);
 	}
 
 	/**
-	 * Take a message that came on a connection that another VM has made.
+	 * Handle a message on a connection that another VM opened.
 	 * @param peer the connection
 	 * @param message the message
 	 */
 	public void receive(WirePeer peer, Envelope message) {
 		String vm = message.getSenderVm();
-		this.askers.put(vm, peer);
-		onHeard(vm, message);
+		this.inboundPeers.put(vm, peer);
+		updateReachability(vm, message);
 		if (!message.hasNodeBeat()) {
 			deliver(message);
 			return;
 		}
-		NodeBeat.Builder answer = NodeBeat.newBuilder().setAnswer(true).setDraining(this.table.isDraining());
-		this.beats.onRequest(vm, message.getNodeBeat(), answer);
-		peer.send(Envelope.newBuilder().setNodeBeat(answer));
+		NodeBeat.Builder reply = NodeBeat.newBuilder().setAnswer(true).setDraining(this.table.isDraining());
+		this.heartbeatHandler.onRequest(vm, message.getNodeBeat(), reply);
+		peer.send(Envelope.newBuilder().setNodeBeat(reply));
 	}
 
-	private void onHeard(String vm, Envelope message) {
+	private void updateReachability(String vm, Envelope message) {
 		if (message.hasNodeBeat() && message.getNodeBeat().getDraining()) {
-			this.heard.onDraining(vm);
+			this.reachability.onDraining(vm);
 		}
 		else {
-			this.heard.onMessage(vm, this.loop.nowMs());
+			this.reachability.onMessage(vm, this.loop.nowMs());
 		}
 	}
 
 	/**
-	 * Return this VM's part in a rate that the holder of a duty grants to all VMs.
-	 * @param duty the duty, which this VM holds
-	 * @return a share of the rate, from 0 to 1; see {@link PeerReachability#shareOfRate}
+	 * Return the share of a fleet-wide rate that this VM may grant as a leader.
+	 * @param role the role, for which this VM is the leader
+	 * @return the share, from 0 to 1; see {@link PeerReachability#shareOfRate}
 	 */
-	public double shareOfRate(LeaderRole duty) {
+	public double shareOfRate(LeaderRole role) {
 		long now = this.loop.nowMs();
-		return this.heard.shareOfRate(this.table.unresponsiveAhead(duty, now), this.table.vms(), now);
+		return this.reachability.shareOfRate(this.table.unresponsiveAhead(role, now), this.table.vms(), now);
 	}
 
 	private void deliver(Envelope message) {
 		if (message.hasFeedUpdate()) {
-			this.beats.onFeedUpdate(message.getFeedUpdate());
+			this.heartbeatHandler.onFeedUpdate(message.getFeedUpdate());
 		}
 		else {
-			this.messages.onMessage(message.getSenderVm(), message);
+			this.messageHandler.onMessage(message.getSenderVm(), message);
 		}
 	}
 
-	private void onAnswer(Envelope message) {
+	private void onHeartbeatReply(Envelope message) {
 		String vm = message.getSenderVm();
-		onHeard(vm, message);
-		NodeBeat beat = message.getNodeBeat();
-		switch (this.table.onAnswer(vm, message.getSenderIncarnation(), beat.getDraining(), this.loop.nowMs())) {
+		updateReachability(vm, message);
+		NodeBeat heartbeat = message.getNodeBeat();
+		switch (this.table.onAnswer(vm, message.getSenderIncarnation(), heartbeat.getDraining(), this.loop.nowMs())) {
 			case FOUND -> this.log.event(EventCode.VM_HEARD, "vm", vm);
 			case RESTARTED -> {
 				this.log.event(EventCode.VM_LOST, "vm", vm, "reason", "restarted");
-				this.messages.onLost(vm);
+				this.messageHandler.onLost(vm);
 			}
 			case NONE -> {
-				// The usual case: a VM that lives goes on living.
+				// The VM was live before.
 			}
 		}
-		this.beats.onReply(vm, beat);
+		this.heartbeatHandler.onReply(vm, heartbeat);
 	}
 
 	/**
-	 * Send a message to a VM that holds a duty.
-	 * @param vm the VM
+	 * Send a message to a VM on this VM's connection to it, which is opened on first use.
+	 * Drops the message if the VM has no record.
+	 * @param vm the name of the VM
 	 * @param message the message
 	 */
 	public void send(String vm, Envelope.Builder message) {
@@ -219,65 +223,65 @@
 	}
 
 	/**
-	 * Send a message to a VM that has asked this one for something, on the connection
-	 * that it made. If that is closed, the VM knows that answers may be lost.
-	 * @param vm the VM
+	 * Send a message to a VM on the connection that the VM opened to this one. Drops the
+	 * message if that connection is closed; the VM expects lost replies then.
+	 * @param vm the name of the VM
 	 * @param message the message
 	 */
 	public void reply(String vm, Envelope.Builder message) {
-		Optional.ofNullable(this.askers.get(vm)).filter(WirePeer::open).ifPresent((peer) -> peer.send(message));
+		Optional.ofNullable(this.inboundPeers.get(vm)).filter(WirePeer::open).ifPresent((peer) -> peer.send(message));
 	}
 
 	/**
-	 * Return how many VMs are known to exist or to have existed.
-	 * @return the count; 0 while nothing is known
+	 * Return the number of VMs that have a record, whether they are live or not.
+	 * @return the count; 0 until records are loaded
 	 */
 	public int knownVmCount() {
 		return this.table.recordCount();
 	}
 
 	/**
-	 * Return the VMs that are known to exist or to have existed, this one among them.
-	 * @return their names
+	 * Return the VMs that have a record, whether they are live or not, including this VM.
+	 * @return the names of the VMs
 	 */
 	public Set<String> vms() {
 		return this.table.vms();
 	}
 
 	/**
-	 * Return how many VMs that this one asks are live.
-	 * @return the count
+	 * Return how many of the VMs that this VM monitors are live.
+	 * @return the count, without this VM
 	 */
 	public int liveVmCount() {
 		return this.table.liveCount();
 	}
 
 	/**
-	 * Take note that another VM has told that it leaves.
-	 * @param vm the VM
+	 * Handle the notice that another VM drains.
+	 * @param vm the name of the VM
 	 */
 	public void onDraining(String vm) {
 		this.table.onDraining(vm);
 	}
 
-	/** Tell the others, when they ask, that this VM leaves. */
+	/** Report in all further heartbeats that this VM drains. */
 	public void drain() {
 		this.table.drain();
 	}
 
-	/** Takes what comes on a connection that this VM has made. */
-	private final class Inbound implements WireListener {
+	/** Handles messages on a connection that this VM opened. */
+	private final class OutboundListener implements WireListener {
 
 		private final String vm;
 
-		private Inbound(String vm) {
+		private OutboundListener(String vm) {
 			this.vm = vm;
 		}
 
 		@Override
 		public void onMessage(Envelope message) {
 			if (message.hasNodeBeat()) {
-				onAnswer(message);
+				onHeartbeatReply(message);
 			}
 			else {
 				deliver(message);
@@ -287,7 +291,7 @@
 		@Override
 		public void onClosed() {
 			if (PeerMesh.this.table.onConnectionClosed(this.vm)) {
-				lose(this.vm, "connection closed");
+				onPeerFailed(this.vm, "connection closed");
 			}
 		}
 
--- a/node/src/main/java/org/tallycart/node/peer/PeerMessageHandler.java
+++ b/node/src/main/java/org/tallycart/node/peer/PeerMessageHandler.java
@@ -5,41 +5,43 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * Takes messages of other VMs that are not beats. Called on the event loop.
+ * Handles messages of other VMs, except heartbeats and store contents. Called on the
+ * event loop.
  *
  * @since 0.1
  */
 public interface PeerMessageHandler {
 
 	/**
-	 * Take a message.
-	 * @param vm who sent it
+	 * Handle a message.
+	 * @param vm the name of the sending VM
 	 * @param message the message
 	 */
 	void onMessage(String vm, Envelope message);
 
 	/**
-	 * Take note that a VM is not heard any more, or no longer hears this one.
-	 * @param vm the VM
+	 * Handle the failure or the restart of a VM, after which messages in either direction
+	 * may be lost.
+	 * @param vm the name of the VM
 	 */
 	void onLost(String vm);
 
 	/**
-	 * Give all messages to several takers, each of which takes its own kinds.
-	 * @param takers the takers
-	 * @return one that stands for all
+	 * Create a handler that passes each call to all given handlers.
+	 * @param handlers the handlers, each of which ignores messages of other kinds
+	 * @return the composite handler
 	 */
-	static PeerMessageHandler composite(List<PeerMessageHandler> takers) {
+	static PeerMessageHandler composite(List<PeerMessageHandler> handlers) {
 		return new PeerMessageHandler() {
 
 			@Override
 			public void onMessage(String vm, Envelope message) {
-				takers.forEach((taker) -> taker.onMessage(vm, message));
+				handlers.forEach((handler) -> handler.onMessage(vm, message));
 			}
 
 			@Override
 			public void onLost(String vm) {
-				takers.forEach((taker) -> taker.onLost(vm));
+				handlers.forEach((handler) -> handler.onLost(vm));
 			}
 
 		};
--- a/node/src/main/java/org/tallycart/node/peer/package-info.java
+++ b/node/src/main/java/org/tallycart/node/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The other VMs: who they are, which of them are heard, and messages between them.
+ * Communication between VMs: connections, failure detection and distribution of notices.
  */
 @NullMarked
 package org.tallycart.node.peer;
