--- a/node/src/main/java/org/tallycart/node/request/RequestFlow.java
+++ b/node/src/main/java/org/tallycart/node/request/RequestFlow.java
@@ -279,7 +279,7 @@
 		}
 		else if (failed && NOT_RUN_STATUSES.contains(head.status())) {
 			respond(CallerResponses.RESPONSE_LOST,
-					"status " + head.status() + " without the upstream's \"not run\" statement");
+					"status " + head.status() + " without a statement that the request has not run");
 		}
 		else {
 			this.responder.send(CallerResponses.forwarded(head), body);
--- a/node/src/main/java/org/tallycart/node/request/StageExecution.java
+++ b/node/src/main/java/org/tallycart/node/request/StageExecution.java
@@ -20,9 +20,9 @@
 /**
  * Execution of the stages of one request.
  * <p>
- * Invariant: the listener is told once that all pieces are completed or that one has
- * failed, and nothing after {@link #cancel()}. Not thread-safe: confined to the event
- * loop.
+ * Invariant: for each start and restart, the listener gets one callback, when all pieces
+ * are completed or one has failed, and none after {@link #cancel()}. Not thread-safe:
+ * confined to the event loop.
  */
 final class StageExecution implements PieceListener {
 
