--- a/node/src/main/java/org/tallycart/node/Node.java
+++ b/node/src/main/java/org/tallycart/node/Node.java
@@ -202,7 +202,7 @@
 
 	private void wantDuties() {
 		List<LeaderRole> duties = new ArrayList<>(this.pieces.duties());
-		duties.addAll(this.store.duties());
+		duties.addAll(this.store.watchedRoles());
 		duties.addAll(this.statements.duties());
 		this.mesh.setWatchedRoles(duties);
 	}
@@ -247,11 +247,11 @@
 		this.metrics.gauge("config.version", () -> this.config.current().map(ServingConfig::version).orElse(0L));
 		this.metrics.gauge("vms.live", this.mesh::liveVmCount);
 		this.metrics.gauge("pieces.outstanding", this.pieces::outstanding);
-		this.metrics.gauge("store.missed", () -> this.store.missed() ? 1 : 0);
+		this.metrics.gauge("store.missed", () -> this.store.isProbeFailing() ? 1 : 0);
 		this.metrics.gauge("upstreams", () -> this.directory.ids().size());
 		this.metrics.gauge("evacuated_domains", () -> this.directory.evacuatedDomains().size());
 		this.metrics.gauge("store.era", this.store::era);
-		this.metrics.gauge("store.kept_against_copy", this.store::keptAgainstCopy);
+		this.metrics.gauge("store.kept_against_copy", this.store::overrideCount);
 		this.metrics.gauge("upstreams.limited", this.statements::limited);
 		this.metrics.gauge("upstreams.leaving", this.statements::leaving);
 		this.metrics.gauge("upstreams.resting", this.statements::resting);
@@ -264,7 +264,7 @@
 				new Address(this.settings.ip(), metricsPort()), "store", this.settings.store());
 		wantDuties();
 		this.mesh.start();
-		this.store.onNewEra(this.crashNews::publishAgain);
+		this.store.onRollback(this.crashNews::publishAgain);
 		this.store.start(this.mesh, listeners.peers());
 		this.pieces.start(this.mesh);
 		this.crashSpread.start(this.mesh);
--- a/node/src/main/java/org/tallycart/node/store/ActiveConfig.java
+++ b/node/src/main/java/org/tallycart/node/store/ActiveConfig.java
@@ -8,9 +8,9 @@
 import org.tallycart.runtime.event.EventCode;
 
 /**
- * The configuration by which requests are served.
+ * The active configuration, by which requests are served.
  * <p>
- * Invariant: its version only rises. Not thread-safe: belongs to the event loop.
+ * Invariant: its version only increases. Not thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
@@ -21,34 +21,35 @@
 	private @Nullable ServingConfig current;
 
 	/**
-	 * Create a holder without a configuration.
-	 * @param log where changes are written
+	 * Create a holder that has no configuration yet.
+	 * @param log the log for changes
 	 */
 	public ActiveConfig(NodeLog log) {
 		this.log = log;
 	}
 
 	/**
-	 * Offer a configuration.
-	 * @param fresh the configuration
-	 * @return whether it is in force now and was not before
+	 * Activate a configuration if its version is higher than that of the active one.
+	 * @param candidate the configuration
+	 * @return true if it has been activated
 	 */
-	public boolean offer(ServingConfig fresh) {
+	public boolean offer(ServingConfig candidate) {
 		long version = (this.current != null) ? this.current.version() : Long.MIN_VALUE;
-		if (fresh.version() < version) {
-			this.log.event(EventCode.CONFIG_REJECTED, "version", fresh.version(), "reason", "older than " + version);
+		if (candidate.version() < version) {
+			this.log.event(EventCode.CONFIG_REJECTED, "version", candidate.version(), "reason",
+					"older than " + version);
 		}
-		if (fresh.version() <= version) {
+		if (candidate.version() <= version) {
 			return false;
 		}
-		this.current = fresh;
-		this.log.event(EventCode.CONFIG_TAKEN, "version", fresh.version(), "services", fresh.services().size());
+		this.current = candidate;
+		this.log.event(EventCode.CONFIG_TAKEN, "version", candidate.version(), "services", candidate.services().size());
 		return true;
 	}
 
 	/**
-	 * Return the configuration.
-	 * @return the configuration, once one is known
+	 * Return the active configuration.
+	 * @return the configuration; empty until the first one is activated
 	 */
 	public Optional<ServingConfig> current() {
 		return Optional.ofNullable(this.current);
--- a/node/src/main/java/org/tallycart/node/store/ConfigSink.java
+++ b/node/src/main/java/org/tallycart/node/store/ConfigSink.java
@@ -10,9 +10,9 @@
 import org.tallycart.runtime.event.EventCode;
 
 /**
- * Offers configurations to be put in force.
+ * Passes configurations from the store to {@link ActiveConfig}.
  * <p>
- * Not thread-safe: belongs to the event loop.
+ * Not thread-safe: confined to the event loop.
  */
 final class ConfigSink implements ObjectSink {
 
@@ -30,29 +30,29 @@
 
 	@Override
 	public void onAll(List<StoredObject> objects) {
-		objects.forEach(this::take);
+		objects.forEach(this::activate);
 	}
 
 	@Override
 	public void onChanges(List<ObjectChange> changes) {
-		changes.stream().filter((change) -> !change.gone()).map(ObjectChange::object).forEach(this::take);
+		changes.stream().filter((change) -> !change.gone()).map(ObjectChange::object).forEach(this::activate);
 	}
 
 	@Override
-	public boolean later(StoredObject known, StoredObject held) {
-		return version(known) > version(held);
+	public boolean isNewer(StoredObject local, StoredObject stored) {
+		return version(local) > version(stored);
 	}
 
 	private static long version(StoredObject object) {
 		return ConfigDecoder.decode(object.spec()).map(ServingConfig::version).getOrElse(Long.MIN_VALUE);
 	}
 
-	private void take(StoredObject object) {
+	private void activate(StoredObject object) {
 		if (!ConfigDecoder.NAME.equals(object.name())) {
 			return;
 		}
-		ConfigDecoder.decode(object.spec()).peek((fresh) -> {
-			if (this.config.offer(fresh)) {
+		ConfigDecoder.decode(object.spec()).peek((candidate) -> {
+			if (this.config.offer(candidate)) {
 				this.onChange.run();
 			}
 		})
--- a/node/src/main/java/org/tallycart/node/store/EvacuationSink.java
+++ b/node/src/main/java/org/tallycart/node/store/EvacuationSink.java
@@ -12,9 +12,9 @@
 import org.tallycart.runtime.event.EventCode;
 
 /**
- * Keeps the failure domains that the operators have evacuated out of use.
+ * Passes the failure domains that operators have evacuated to the upstream directory.
  * <p>
- * Not thread-safe: belongs to the event loop.
+ * Not thread-safe: confined to the event loop.
  */
 final class EvacuationSink implements ObjectSink {
 
@@ -36,7 +36,7 @@
 	public void onAll(List<StoredObject> objects) {
 		Set<String> before = Set.copyOf(this.domains);
 		this.domains.clear();
-		objects.forEach((order) -> this.domains.add(Evacuations.failureDomain(order)));
+		objects.forEach((object) -> this.domains.add(Evacuations.failureDomain(object)));
 		apply(before);
 	}
 
--- a/node/src/main/java/org/tallycart/node/store/FeedReplica.java
+++ b/node/src/main/java/org/tallycart/node/store/FeedReplica.java
@@ -25,22 +25,20 @@
 import org.tallycart.wire.message.FeedUpdate;
 
 /**
- * One kind of object, as this VM knows it: read from the store, or passed on by another
- * VM.
+ * Replica of one kind of object on this VM, read from the store or relayed by another VM.
  * <p>
- * Invariant: its point in the store's course only rises, and updates that lead to no
- * later one, or do not continue what is known, change nothing. After the store has come
- * back from an older copy, a list of the new era replaces what is known, but for what is
- * newer than the copy, see {@link RollbackOverrides}. Not thread-safe: belongs to the
- * event loop.
+ * Invariant: its point in the store's history only advances; an update that leads to no
+ * later point, or leaves a gap, changes nothing. After a rollback of the store, a list of
+ * the new era replaces the replica, except for objects that are newer than the backup,
+ * see {@link RollbackOverrides}. Not thread-safe: confined to the event loop.
  */
 final class FeedReplica implements FeedListener {
 
 	/**
-	 * When operators and upstreams have written again what an older copy lacks, in
-	 * milliseconds: the platform names about two seconds.
+	 * Time after a rollback within which operators and upstreams write lost objects
+	 * again, in milliseconds; the platform states about two seconds.
 	 */
-	private static final long REWRITTEN_MS = 2_200;
+	private static final long REWRITE_PERIOD_MS = 2_200;
 
 	private final Feed feed;
 
@@ -56,19 +54,18 @@
 
 	private final NodeLog log;
 
-	private final RollbackOverrides copy;
+	private final RollbackOverrides overrides;
 
 	private final Map<String, StoredObject> objects = new HashMap<>();
 
 	private StorePoint point = StorePoint.UNKNOWN;
 
-	// Until when something is believed against an older copy; empty if nothing is, or
-	// for good.
-	private OptionalLong keptUntilMs = OptionalLong.empty();
+	// When the overrides expire; empty if there are none, or they do not expire.
+	private OptionalLong overridesEndMs = OptionalLong.empty();
 
-	private boolean following;
+	private boolean reading;
 
-	private boolean lost;
+	private boolean storeLost;
 
 	FeedReplica(Feed feed, ObjectSink sink, Function<FeedListener, ObjectSource> source, EventLoop loop, NodeLog log,
 			Runnable onContact, Consumer<FeedUpdate> publisher) {
@@ -79,18 +76,18 @@
 		this.publisher = publisher;
 		this.loop = loop;
 		this.log = log;
-		this.copy = new RollbackOverrides(rewrittenWithinMs(feed));
+		this.overrides = new RollbackOverrides(overrideDurationMs(feed));
 	}
 
 	Feed feed() {
 		return this.feed;
 	}
 
-	// A configuration never goes back, and findings are written again by this system.
-	private static OptionalLong rewrittenWithinMs(Feed feed) {
+	// Configuration versions never decrease, and VMs write quarantine records again.
+	private static OptionalLong overrideDurationMs(Feed feed) {
 		return switch (feed) {
 			case CONFIGURATION, QUARANTINE -> OptionalLong.empty();
-			default -> OptionalLong.of(REWRITTEN_MS);
+			default -> OptionalLong.of(REWRITE_PERIOD_MS);
 		};
 	}
 
@@ -98,58 +95,58 @@
 		return this.point;
 	}
 
-	boolean known() {
+	boolean isLoaded() {
 		return !this.point.equals(StorePoint.UNKNOWN);
 	}
 
 	/**
-	 * Return what this VM says of this kind to the one that is to pass it on.
-	 * @return up to where it is known
+	 * Return the state of this replica, for a heartbeat request to the VM that relays it.
+	 * @return its point, and whether its overrides have expired
 	 */
-	FeedRevision question() {
+	FeedRevision revision() {
 		return FeedRevision.newBuilder()
 			.setFeed(this.feed)
 			.setEra(this.point.era())
 			.setRevision(this.point.revision())
-			.setOverdue(overdue())
+			.setOverdue(overridesExpired())
 			.build();
 	}
 
-	private boolean overdue() {
-		return this.keptUntilMs.isPresent() && this.loop.nowMs() >= this.keptUntilMs.getAsLong();
+	private boolean overridesExpired() {
+		return this.overridesEndMs.isPresent() && this.loop.nowMs() >= this.overridesEndMs.getAsLong();
 	}
 
 	/**
-	 * Return whether another VM has to be sent all of this kind. At the same point of the
-	 * store's course it may still believe what this VM no longer does.
-	 * @param asked what it says of a kind, which may be another one
-	 * @return true if it knows less than this VM, or believes what has ended
+	 * Return whether another VM needs a snapshot of this replica. At the same point of
+	 * the store's history it may still have overrides that this VM has dropped.
+	 * @param other the state of the other VM's replica, of this kind or another one
+	 * @return true if it is of this kind and behind this one, or has expired overrides
 	 */
-	boolean lackedBy(FeedRevision asked) {
-		StorePoint has = new StorePoint(asked.getEra(), asked.getRevision());
-		boolean corrects = asked.getOverdue() && this.keptUntilMs.isEmpty() && !this.point.before(has);
-		return asked.getFeed() == this.feed && (has.before(this.point) || corrects);
+	boolean isNeededBy(FeedRevision other) {
+		StorePoint otherPoint = new StorePoint(other.getEra(), other.getRevision());
+		boolean correctsOther = other.getOverdue() && this.overridesEndMs.isEmpty() && !this.point.before(otherPoint);
+		return other.getFeed() == this.feed && (otherPoint.before(this.point) || correctsOther);
 	}
 
-	// How many objects are kept against an older copy.
-	int kept() {
-		return this.copy.count();
+	// Returns the number of objects that differ from the restored store.
+	int overrideCount() {
+		return this.overrides.count();
 	}
 
-	void follow() {
-		this.following = true;
+	void startReading() {
+		this.reading = true;
 		this.source.renew();
 	}
 
-	// Reads what there is in an era, unless it has been read already.
-	void followSince(long era) {
+	// Starts to read, unless the era has been read already.
+	void startReadingEra(long era) {
 		if (this.point.era() < era) {
-			follow();
+			startReading();
 		}
 	}
 
-	void stopFollowing() {
-		this.following = false;
+	void stopReading() {
+		this.reading = false;
 		this.source.stop();
 	}
 
@@ -159,42 +156,43 @@
 			return;
 		}
 		long now = this.loop.nowMs();
-		boolean newEra = known() && listPoint.era() > this.point.era();
+		boolean newEra = isLoaded() && listPoint.era() > this.point.era();
 		if (newEra) {
-			this.copy.begin(this.objects, listed, this.sink::later, now);
-			this.copy.dueMs(now).ifPresent((ms) -> this.loop.schedule(ms, this::listIfFollowing));
+			this.overrides.onRollback(this.objects, listed, this.sink::isNewer, now);
+			this.overrides.remainingMs(now).ifPresent((ms) -> this.loop.schedule(ms, this::listIfReading));
 		}
-		List<StoredObject> believed = this.copy.apply(listed, now);
-		this.keptUntilMs = until(this.copy.dueMs(now));
-		boolean same = known() && !newEra && sameAs(believed);
-		takeAll(believed);
-		if (!same) {
+		List<StoredObject> effective = this.overrides.apply(listed, now);
+		this.overridesEndMs = deadline(this.overrides.remainingMs(now));
+		boolean unchanged = isLoaded() && !newEra && matches(effective);
+		replaceAll(effective);
+		if (!unchanged) {
 			this.point = listPoint;
-			this.publisher.accept(whole());
+			this.publisher.accept(snapshot());
 		}
 	}
 
-	private OptionalLong until(OptionalLong leftMs) {
-		return leftMs.isPresent() ? OptionalLong.of(this.loop.nowMs() + leftMs.getAsLong()) : OptionalLong.empty();
+	private OptionalLong deadline(OptionalLong remainingMs) {
+		return remainingMs.isPresent() ? OptionalLong.of(this.loop.nowMs() + remainingMs.getAsLong())
+				: OptionalLong.empty();
 	}
 
-	private void listIfFollowing() {
-		if (this.following) {
+	private void listIfReading() {
+		if (this.reading) {
 			this.source.renew();
 		}
 	}
 
-	private boolean sameAs(List<StoredObject> listed) {
+	private boolean matches(List<StoredObject> listed) {
 		return listed.size() == this.objects.size() && listed.stream().allMatch((object) -> {
-			StoredObject known = this.objects.get(object.name());
-			return known != null && known.revision() == object.revision();
+			StoredObject local = this.objects.get(object.name());
+			return local != null && local.revision() == object.revision();
 		});
 	}
 
-	private void takeAll(List<StoredObject> all) {
-		Set<String> missing = new HashSet<>(this.objects.keySet());
-		all.forEach((object) -> missing.remove(object.name()));
-		missing.forEach((name) -> this.copy.onGone(name, this.loop.nowMs()));
+	private void replaceAll(List<StoredObject> all) {
+		Set<String> removed = new HashSet<>(this.objects.keySet());
+		all.forEach((object) -> removed.remove(object.name()));
+		removed.forEach((name) -> this.overrides.onRemoved(name, this.loop.nowMs()));
 		this.objects.clear();
 		all.forEach((object) -> this.objects.put(object.name(), object));
 		this.sink.onAll(all);
@@ -203,17 +201,17 @@
 	@Override
 	public void onChanges(List<ObjectChange> changes, StorePoint reached) {
 		StorePoint from = this.point;
-		this.copy.onChanges(changes);
-		takeChanges(changes, reached);
+		this.overrides.onChanges(changes);
+		applyChanges(changes, reached);
 		this.publisher
 			.accept(update(from, false).addAllObjects(changes.stream().map(FeedReplica::encode).toList()).build());
 	}
 
-	private void takeChanges(List<ObjectChange> changes, StorePoint reached) {
+	private void applyChanges(List<ObjectChange> changes, StorePoint reached) {
 		for (ObjectChange change : changes) {
 			if (change.gone()) {
 				this.objects.remove(change.object().name());
-				this.copy.onGone(change.object().name(), this.loop.nowMs());
+				this.overrides.onRemoved(change.object().name(), this.loop.nowMs());
 			}
 			else {
 				this.objects.put(change.object().name(), change.object());
@@ -225,27 +223,27 @@
 
 	@Override
 	public void onLost(StoreError error) {
-		if (!this.lost) {
-			this.lost = true;
+		if (!this.storeLost) {
+			this.storeLost = true;
 			this.log.event(EventCode.STORE_LOST, "feed", this.feed, "error", error.kind(), "detail", error.detail());
 		}
 		this.sink.onStoreLost();
 	}
 
-	// The store gave this VM no answer, though it does not follow it.
-	void onSilent() {
+	// Called if the store does not answer a probe while this VM does not read it.
+	void onProbeFailure() {
 		this.sink.onStoreLost();
 	}
 
-	// The VM that passes on what the store says does so again.
-	void onTold() {
+	// Called when another VM relays the store again.
+	void onRelayRestored() {
 		this.sink.onStoreReached();
 	}
 
 	@Override
 	public void onReached() {
-		if (this.lost) {
-			this.lost = false;
+		if (this.storeLost) {
+			this.storeLost = false;
 			this.log.event(EventCode.STORE_BACK, "feed", this.feed);
 		}
 		this.sink.onStoreReached();
@@ -253,10 +251,10 @@
 	}
 
 	/**
-	 * Return all that is known, to be passed on.
-	 * @return an update that needs none before it
+	 * Return the whole replica, to be relayed.
+	 * @return an update that does not depend on earlier ones
 	 */
-	FeedUpdate whole() {
+	FeedUpdate snapshot() {
 		List<FeedObject> all = this.objects.values()
 			.stream()
 			.map((object) -> encode(new ObjectChange(object, false)))
@@ -264,21 +262,20 @@
 		return update(StorePoint.UNKNOWN, true).addAllObjects(all).build();
 	}
 
-	private FeedUpdate.Builder update(StorePoint from, boolean whole) {
+	private FeedUpdate.Builder update(StorePoint from, boolean snapshot) {
 		return FeedUpdate.newBuilder()
 			.setFeed(this.feed)
-			.setWhole(whole)
+			.setWhole(snapshot)
 			.setFromRevision(from.revision())
 			.setEra(this.point.era())
 			.setRevision(this.point.revision())
-			.setUntrustedMs((int) this.sink.untrustedMs())
-			.setKeptMs((int) keptMs());
+			.setUntrustedMs((int) this.sink.remainingGraceMs())
+			.setKeptMs((int) remainingOverrideMs());
 	}
 
-	// For how much longer something is believed against an older copy. What is overdue is
-	// passed on as what ends at once.
-	private long keptMs() {
-		return this.keptUntilMs.isPresent() ? Math.max(this.keptUntilMs.getAsLong() - this.loop.nowMs(), 1) : 0;
+	// Expired overrides are relayed with the shortest time, since 0 means none.
+	private long remainingOverrideMs() {
+		return this.overridesEndMs.isPresent() ? Math.max(this.overridesEndMs.getAsLong() - this.loop.nowMs(), 1) : 0;
 	}
 
 	private static FeedObject encode(ObjectChange change) {
@@ -292,35 +289,35 @@
 	}
 
 	/**
-	 * Take what another VM passes on, and pass it on in turn.
+	 * Apply an update that another VM relays, and relay it in turn.
 	 * @param update the update
 	 */
 	void onUpdate(FeedUpdate update) {
 		StorePoint reached = new StorePoint(update.getEra(), update.getRevision());
-		boolean sameEra = known() && reached.era() == this.point.era();
-		boolean continues = update.getWhole() || (sameEra && update.getFromRevision() <= this.point.revision());
-		boolean again = reached.equals(this.point);
-		if (reached.before(this.point) || !continues || (again && !update.getWhole())) {
+		boolean sameEra = isLoaded() && reached.era() == this.point.era();
+		boolean contiguous = update.getWhole() || (sameEra && update.getFromRevision() <= this.point.revision());
+		boolean samePoint = reached.equals(this.point);
+		if (reached.before(this.point) || !contiguous || (samePoint && !update.getWhole())) {
 			return;
 		}
 		List<ObjectChange> changes = decode(update);
 		if (update.getWhole()) {
-			this.keptUntilMs = until(
+			this.overridesEndMs = deadline(
 					(update.getKeptMs() > 0) ? OptionalLong.of(update.getKeptMs()) : OptionalLong.empty());
 		}
-		// What was kept against an older copy may end without a change in the store.
-		if (again && sameAs(objects(changes))) {
+		// A snapshot of the same point differs if overrides have expired.
+		if (samePoint && matches(objects(changes))) {
 			return;
 		}
 		if (update.getUntrustedMs() > 0) {
-			this.sink.distrust(update.getUntrustedMs());
+			this.sink.extendGrace(update.getUntrustedMs());
 		}
 		if (update.getWhole()) {
 			this.point = reached;
-			takeAll(objects(changes));
+			replaceAll(objects(changes));
 		}
 		else {
-			takeChanges(changes, reached);
+			applyChanges(changes, reached);
 		}
 		this.publisher.accept(update);
 	}
--- a/node/src/main/java/org/tallycart/node/store/ObjectSink.java
+++ b/node/src/main/java/org/tallycart/node/store/ObjectSink.java
@@ -6,56 +6,57 @@
 import org.tallycart.platform.store.StoredObject;
 
 /**
- * Takes what is known of one kind of object, wherever it comes from. Called on the event
- * loop.
+ * Receives the objects of one kind, read from the store or relayed by another VM. Called
+ * on the event loop.
  */
 interface ObjectSink {
 
 	/**
-	 * Take all objects.
-	 * @param objects the objects
+	 * Replace all objects.
+	 * @param objects the complete list
 	 */
 	void onAll(List<StoredObject> objects);
 
 	/**
-	 * Take changes.
+	 * Apply changes.
 	 * @param changes the changes in their order
 	 */
 	void onChanges(List<ObjectChange> changes);
 
 	/**
-	 * Return whether what is known of an object is newer than what the store holds, since
-	 * it came back from an older copy. In the copy an object has no later revision than
-	 * ever before.
-	 * @param known what was known before the return
-	 * @param held what the store holds now
-	 * @return false if it was written since the return, or may have been
+	 * Return whether the local version of an object is newer than the stored one after a
+	 * rollback of the store. A backup holds no higher revision of an object than the
+	 * store has had before.
+	 * @param local the version from before the rollback
+	 * @param stored the version that the store holds now
+	 * @return false if the stored version was written after the rollback, or may have
+	 * been
 	 */
-	default boolean later(StoredObject known, StoredObject held) {
-		return known.revision() > held.revision();
+	default boolean isNewer(StoredObject local, StoredObject stored) {
+		return local.revision() > stored.revision();
 	}
 
-	/** Take note that the store does not answer. */
+	/** Handle a failure to reach the store. */
 	default void onStoreLost() {
 	}
 
-	/** Take note that the store has answered. */
+	/** Handle a reply of the store. */
 	default void onStoreReached() {
 	}
 
 	/**
-	 * Return how long objects that vanish may still come back.
-	 * @return milliseconds; 0 where what vanishes is gone
+	 * Return for how much longer vanished objects are retained, since they may reappear.
+	 * @return milliseconds; 0 if removals take effect at once
 	 */
-	default long untrustedMs() {
+	default long remainingGraceMs() {
 		return 0;
 	}
 
 	/**
-	 * Take note that objects that vanish may still come back.
-	 * @param ms for how long, in milliseconds
+	 * Retain vanished objects for some time, since they may reappear.
+	 * @param ms the time from now, in milliseconds
 	 */
-	default void distrust(long ms) {
+	default void extendGrace(long ms) {
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/store/QuarantineSink.java
+++ b/node/src/main/java/org/tallycart/node/store/QuarantineSink.java
@@ -17,16 +17,16 @@
 import org.tallycart.runtime.process.Clocks;
 
 /**
- * Keeps the requests of the quarantine's records away from upstreams.
+ * Applies the store's quarantine records to the quarantine.
  * <p>
- * Invariant: a record that cannot be read keeps no request away, and does not touch the
- * others. Not thread-safe: belongs to the event loop.
+ * Invariant: an invalid record quarantines no request, and does not affect the others.
+ * Not thread-safe: confined to the event loop.
  */
 final class QuarantineSink implements ObjectSink {
 
 	private final Map<Fingerprint, Long> untilMs = new HashMap<>();
 
-	private final Set<String> unreadable = new HashSet<>();
+	private final Set<String> invalid = new HashSet<>();
 
 	private final Quarantine quarantine;
 
@@ -43,7 +43,7 @@
 	@Override
 	public void onAll(List<StoredObject> objects) {
 		this.untilMs.clear();
-		objects.forEach(this::take);
+		objects.forEach(this::put);
 		apply();
 	}
 
@@ -55,34 +55,34 @@
 				QuarantineRecords.fingerprint(change.object()).peek(this::lift);
 			}
 			else {
-				take(change.object());
+				put(change.object());
 			}
 		}
 		apply();
 	}
 
-	// Also where its record came and went so soon that it was never seen in the list.
+	// The record may have been removed before it was ever seen in a list.
 	private void lift(Fingerprint fingerprint) {
 		if (this.quarantine.lift(fingerprint)) {
 			this.log.event(EventCode.QUARANTINE_CHANGED, "by", "removal", "requests", List.of(fingerprint.shortText()));
 		}
 	}
 
-	private void take(StoredObject object) {
+	private void put(StoredObject object) {
 		QuarantineRecords.fingerprint(object)
 			.flatMap((fingerprint) -> QuarantineRecords.untilMs(object)
-				.peek((until) -> this.untilMs.put(fingerprint, steady(until))))
-			.peekLeft((reason) -> onUnreadable(object.name(), reason));
+				.peek((until) -> this.untilMs.put(fingerprint, toMonotonicMs(until))))
+			.peekLeft((reason) -> reportInvalid(object.name(), reason));
 	}
 
-	private void onUnreadable(String name, String reason) {
-		if (this.unreadable.add(name)) {
+	private void reportInvalid(String name, String reason) {
+		if (this.invalid.add(name)) {
 			this.log.event(EventCode.QUARANTINE_UNREADABLE, "object", name, "reason", reason);
 		}
 	}
 
-	// Clocks may differ by seconds, or be wrong: no record holds longer than a term.
-	private long steady(long wallMs) {
+	// Wall clocks may differ, so the time is limited to the duration of a quarantine.
+	private long toMonotonicMs(long wallMs) {
 		long remainingMs = Math.min(wallMs - Clocks.SYSTEM.wallMs(), Quarantine.DURATION_MS);
 		return this.loop.nowMs() + Math.max(remainingMs, 0);
 	}
--- a/node/src/main/java/org/tallycart/node/store/ReplicatedState.java
+++ b/node/src/main/java/org/tallycart/node/store/ReplicatedState.java
@@ -5,12 +5,12 @@
 import org.tallycart.node.metrics.NodeMetrics;
 
 /**
- * What the store's objects become part of in this process.
+ * The state of this process that is replicated from the store's objects.
  *
- * @param config the configuration in force
- * @param directory the upstreams
- * @param quarantine the requests that no upstream gets
- * @param metrics what is counted
+ * @param config the active configuration
+ * @param directory the directory of upstreams
+ * @param quarantine the quarantined requests
+ * @param metrics the metrics of this process
  * @since 0.1
  */
 public record ReplicatedState(ActiveConfig config, UpstreamDirectory directory, Quarantine quarantine,
--- a/node/src/main/java/org/tallycart/node/store/RollbackOverrides.java
+++ b/node/src/main/java/org/tallycart/node/store/RollbackOverrides.java
@@ -14,148 +14,149 @@
 import org.tallycart.platform.store.StoredObject;
 
 /**
- * What is known of one kind of object, and newer than the copy from which the store has
- * come back. Until it is written again, the copy is not believed over it: an object that
- * the copy lacks stays, one that it brings back stays away, and one that it has in an
- * earlier form keeps the later one.
+ * Local state of one kind of object that is newer than the backup from which the store
+ * was restored. Until an object is written again, the local state overrides the backup:
+ * an object that the backup lacks is retained, one that it resurrects stays removed, and
+ * one that it holds in an earlier version keeps the later version.
  * <p>
- * Invariant: an object that is written in the new era is taken as it is. Not thread-safe:
- * belongs to the event loop.
+ * Invariant: an object that is written in the new era is never overridden. Not
+ * thread-safe: confined to the event loop.
  */
 final class RollbackOverrides {
 
 	/**
-	 * How long it is remembered that an object has gone, in milliseconds: copies are
+	 * Time for which the removal of an object is remembered, in milliseconds; backups are
 	 * seconds old.
 	 */
-	private static final long GONE_MS = 60_000;
+	private static final long REMOVAL_MEMORY_MS = 60_000;
 
-	/** No revision that a copy may have. */
+	/** Stands for the revision of an object that the backup lacks. */
 	private static final long MISSING = -1;
 
-	// How long knowledge is kept that nobody writes again.
-	private final OptionalLong termMs;
+	// How long objects are overridden that nobody writes again.
+	private final OptionalLong durationMs;
 
-	private final Map<String, Long> goneMs = new HashMap<>();
+	private final Map<String, Long> removedMs = new HashMap<>();
 
-	private final Map<String, Kept> kept = new HashMap<>();
+	private final Map<String, RetainedObject> retained = new HashMap<>();
 
-	private long keptUntilMs;
+	private long endMs;
 
 	/**
-	 * Create a memory.
-	 * @param termMs how long knowledge that nobody writes again is kept, in milliseconds;
-	 * empty if as long as this process lives
+	 * Create overrides.
+	 * @param durationMs how long objects are overridden that nobody writes again, in
+	 * milliseconds; empty for no limit
 	 */
-	RollbackOverrides(OptionalLong termMs) {
-		this.termMs = termMs;
+	RollbackOverrides(OptionalLong durationMs) {
+		this.durationMs = durationMs;
 	}
 
 	/**
-	 * Take note that an object has gone.
-	 * @param name the object
-	 * @param nowMs the steady clock
+	 * Record that an object has been removed.
+	 * @param name the name of the object
+	 * @param nowMs the time on the monotonic clock
 	 */
-	void onGone(String name, long nowMs) {
-		this.goneMs.values().removeIf((at) -> nowMs - at > GONE_MS);
-		this.goneMs.put(name, nowMs);
+	void onRemoved(String name, long nowMs) {
+		this.removedMs.values().removeIf((at) -> nowMs - at > REMOVAL_MEMORY_MS);
+		this.removedMs.put(name, nowMs);
 	}
 
 	/**
-	 * Take the first list of a new era.
-	 * @param known what was known before
-	 * @param copy the list
-	 * @param newer tells whether what was known is newer than what the list holds
-	 * @param nowMs the steady clock
+	 * Determine the overrides from the first list of a new era.
+	 * @param local the local objects from before the rollback
+	 * @param restored the list
+	 * @param newer tests whether a local object is newer than the listed one
+	 * @param nowMs the time on the monotonic clock
 	 */
-	void begin(Map<String, StoredObject> known, Collection<StoredObject> copy,
+	void onRollback(Map<String, StoredObject> local, Collection<StoredObject> restored,
 			BiPredicate<StoredObject, StoredObject> newer, long nowMs) {
-		this.kept.clear();
-		this.keptUntilMs = nowMs + this.termMs.orElse(0);
-		Set<String> missing = new HashSet<>(known.keySet());
-		for (StoredObject object : copy) {
+		this.retained.clear();
+		this.endMs = nowMs + this.durationMs.orElse(0);
+		Set<String> missing = new HashSet<>(local.keySet());
+		for (StoredObject object : restored) {
 			missing.remove(object.name());
-			StoredObject later = known.get(object.name());
-			boolean gone = nowMs - this.goneMs.getOrDefault(object.name(), nowMs - GONE_MS - 1) <= GONE_MS;
-			if (later != null && newer.test(later, object)) {
-				this.kept.put(object.name(), new Kept(List.of(later), object.revision()));
+			StoredObject localObject = local.get(object.name());
+			boolean removed = nowMs
+					- this.removedMs.getOrDefault(object.name(), nowMs - REMOVAL_MEMORY_MS - 1) <= REMOVAL_MEMORY_MS;
+			if (localObject != null && newer.test(localObject, object)) {
+				this.retained.put(object.name(), new RetainedObject(List.of(localObject), object.revision()));
 			}
-			else if (later == null && gone) {
-				this.kept.put(object.name(), new Kept(List.of(), object.revision()));
+			else if (localObject == null && removed) {
+				this.retained.put(object.name(), new RetainedObject(List.of(), object.revision()));
 			}
 		}
-		missing.forEach((name) -> this.kept.put(name, new Kept(List.of(known.get(name)), MISSING)));
+		missing.forEach((name) -> this.retained.put(name, new RetainedObject(List.of(local.get(name)), MISSING)));
 	}
 
 	/**
-	 * Return how many objects are kept against the copy.
+	 * Return the number of objects that are overridden.
 	 * @return the count
 	 */
 	int count() {
-		return this.kept.size();
+		return this.retained.size();
 	}
 
 	/**
-	 * Take a list of the era, and put what is known into it.
+	 * Apply the overrides to a list of the current era.
 	 * @param listed the list
-	 * @param nowMs the steady clock
-	 * @return what is to be believed
+	 * @param nowMs the time on the monotonic clock
+	 * @return the effective objects
 	 */
 	List<StoredObject> apply(List<StoredObject> listed, long nowMs) {
-		if (this.termMs.isPresent() && nowMs >= this.keptUntilMs) {
-			this.kept.clear();
+		if (this.durationMs.isPresent() && nowMs >= this.endMs) {
+			this.retained.clear();
 		}
-		if (this.kept.isEmpty()) {
+		if (this.retained.isEmpty()) {
 			return listed;
 		}
-		List<StoredObject> believed = new ArrayList<>();
+		List<StoredObject> effective = new ArrayList<>();
 		Set<String> present = new HashSet<>();
 		for (StoredObject object : listed) {
 			present.add(object.name());
-			Kept against = this.kept.get(object.name());
-			if (against != null && against.revision == object.revision()) {
-				believed.addAll(against.known);
+			RetainedObject override = this.retained.get(object.name());
+			if (override != null && override.revision == object.revision()) {
+				effective.addAll(override.objects);
 			}
 			else {
-				this.kept.remove(object.name());
-				believed.add(object);
+				this.retained.remove(object.name());
+				effective.add(object);
 			}
 		}
-		this.kept.forEach((name, against) -> {
+		this.retained.forEach((name, override) -> {
 			if (!present.contains(name)) {
-				believed.addAll(against.known);
+				effective.addAll(override.objects);
 			}
 		});
-		return believed;
+		return effective;
 	}
 
 	/**
-	 * Take changes of the era: what is written is no longer kept against it.
+	 * Drop the overrides of objects that have been written in the current era.
 	 * @param changes the changes
 	 */
 	void onChanges(List<ObjectChange> changes) {
-		changes.forEach((change) -> this.kept.remove(change.object().name()));
+		changes.forEach((change) -> this.retained.remove(change.object().name()));
 	}
 
 	/**
-	 * Return when a list is to be believed whole.
-	 * @param nowMs the steady clock
-	 * @return milliseconds from now; empty if nothing is kept, or what is kept has no end
+	 * Return the time until the overrides expire.
+	 * @param nowMs the time on the monotonic clock
+	 * @return milliseconds; empty if there are no overrides, or they do not expire
 	 */
-	OptionalLong dueMs(long nowMs) {
-		if (this.kept.isEmpty() || this.termMs.isEmpty()) {
+	OptionalLong remainingMs(long nowMs) {
+		if (this.retained.isEmpty() || this.durationMs.isEmpty()) {
 			return OptionalLong.empty();
 		}
-		return OptionalLong.of(Math.max(this.keptUntilMs - nowMs, 0));
+		return OptionalLong.of(Math.max(this.endMs - nowMs, 0));
 	}
 
 	/**
-	 * An object that is kept against the copy.
+	 * The override of one object.
 	 *
-	 * @param known what is believed; empty if it has gone
-	 * @param revision its revision in the copy
+	 * @param objects the object that is retained; empty if it is removed
+	 * @param revision the revision in the backup
 	 */
-	private record Kept(List<StoredObject> known, long revision) {
+	private record RetainedObject(List<StoredObject> objects, long revision) {
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
+++ b/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
@@ -38,56 +38,57 @@
 import org.tallycart.wire.message.NodeBeat;
 
 /**
- * Learns the configuration, the upstreams and the other VMs' records: from the platform's
- * store, or from the VM that {@link StoreSourceChooser} names; and passes on what it
- * learns to the VMs that look to this one.
+ * Replicates the configuration, the upstreams, the quarantine and the other VMs' records
+ * from the platform's store, or from the VM that {@link StoreSourceChooser} selects, and
+ * relays updates to its subscribers.
  * <p>
- * While the store is away, what was read last stays in force. Not thread-safe: belongs to
- * the event loop.
+ * During an outage of the store the last replicated state stays active. Not thread-safe:
+ * confined to the event loop.
  *
  * @since 0.1
  */
 public final class StoreReplicator implements HeartbeatHandler, DistributionTree {
 
 	/**
-	 * Time between two readings of the other VMs' records, in milliseconds: a new VM is
+	 * Interval at which the other VMs' records are read, in milliseconds: a new VM is
 	 * known to all within about two seconds.
 	 */
-	private static final long RECORDS_MS = 1_000;
+	private static final long RECORDS_INTERVAL_MS = 1_000;
 
 	/**
-	 * VMs of a failure domain that are told what they do not follow: one, and a spare.
+	 * Number of VMs in each failure domain that receive notices directly: the relay and a
+	 * standby.
 	 */
-	private static final int RELAYS = 2;
+	private static final int RELAYS_PER_DOMAIN = 2;
 
-	/** Time between two looks at whom to follow, in milliseconds. */
-	private static final long REVIEW_MS = 200;
+	/** Interval at which the source is reviewed, in milliseconds. */
+	private static final long REVIEW_INTERVAL_MS = 200;
 
 	/**
-	 * Time between two looks at whether the store answers, in milliseconds, while others
-	 * follow this VM; see {@link StoreSourceChooser}.
+	 * Interval of probes of the store while this VM has subscribers, in milliseconds; see
+	 * {@link StoreSourceChooser}.
 	 */
-	private static final long PROBE_FOR_OTHERS_MS = 400;
+	private static final long PROBE_WITH_SUBSCRIBERS_INTERVAL_MS = 400;
 
-	/** The same while no other does. */
-	private static final long PROBE_MS = 1_000;
+	/** Interval of probes of the store without subscribers, in milliseconds. */
+	private static final long PROBE_INTERVAL_MS = 1_000;
 
 	/**
-	 * When to leave this VM's record in the store is tried again, in milliseconds.
+	 * Delay before a failed write of this VM's record is retried, in milliseconds.
 	 */
 	private static final long PUBLISH_RETRY_MS = 1_000;
 
 	/**
-	 * A record that is older than this is in each copy that the store may come back from,
-	 * in milliseconds: copies are seconds old.
+	 * Age from which a record is part of every backup that the store may be restored
+	 * from, in milliseconds; backups are seconds old.
 	 */
-	private static final long COPY_AGE_MS = 60_000;
+	private static final long BACKUP_AGE_MS = 60_000;
 
 	private final NodeSettings settings;
 
 	private final StoreSourceChooser chooser;
 
-	private final Runnable onDuties;
+	private final Runnable onRolesChanged;
 
 	private final EventLoop loop;
 
@@ -95,108 +96,110 @@
 
 	private final VmRecords records;
 
-	private final FeedReplica vms;
+	private final FeedReplica vmReplica;
 
-	private final List<FeedReplica> kinds;
+	private final List<FeedReplica> replicas;
 
 	private final Subscribers subscribers = new Subscribers();
 
 	private Optional<PeerMesh> mesh = Optional.empty();
 
-	private List<LeaderRole> duties;
+	private List<LeaderRole> watchedRoles;
 
-	private final List<Consumer<String>> onFollower = new ArrayList<>();
+	private final List<Consumer<String>> subscriberListeners = new ArrayList<>();
 
-	private boolean missed;
+	private boolean probeFailed;
 
-	private boolean askedInVain;
+	private boolean relayLost;
 
-	private long probedMs;
+	private long lastProbeMs;
 
-	private Runnable onNewEra = () -> {
+	private Runnable rollbackListener = () -> {
 	};
 
-	private Optional<VmRecord> own = Optional.empty();
+	private Optional<VmRecord> ownRecord = Optional.empty();
 
-	private long recordedMs;
+	private long recordWrittenMs;
 
 	private long era;
 
 	/**
-	 * Create a link.
-	 * @param settings names this VM
-	 * @param client makes the calls
+	 * Create a replicator.
+	 * @param settings the settings of this VM
+	 * @param client the client of the store
 	 * @param loop the event loop
-	 * @param log where changes are written
-	 * @param known takes what is learned
-	 * @param onChange runs after each change of it
-	 * @param onDuties runs after each change of the duties that matter to this VM
+	 * @param log the log for changes
+	 * @param state receives the replicated objects
+	 * @param onChange runs after each change of the configuration, the upstreams or the
+	 * evacuations
+	 * @param onRolesChanged runs after each change of {@link #watchedRoles()}
 	 */
 	public StoreReplicator(NodeSettings settings, ObjectClient client, EventLoop loop, NodeLog log,
-			ReplicatedState known, Runnable onChange, Runnable onDuties) {
+			ReplicatedState state, Runnable onChange, Runnable onRolesChanged) {
 		this.settings = settings;
 		this.chooser = new StoreSourceChooser(settings.vm(), settings.failureDomain());
-		this.duties = List.of(LeaderRole.domainRelay(settings.failureDomain()));
-		this.onDuties = onDuties;
+		this.watchedRoles = List.of(LeaderRole.domainRelay(settings.failureDomain()));
+		this.onRolesChanged = onRolesChanged;
 		this.loop = loop;
 		this.log = log;
 		this.records = new VmRecords(client);
 		client.onEra((from, to) -> onEra(to, "the store"));
-		this.vms = kind(Feed.VMS, new VmRecordSink(log, this::onRecords), (listener) -> new ObjectFeed(client,
-				loop.executor(), VmRecords.KIND, OptionalLong.of(RECORDS_MS), listener));
-		this.kinds = new ArrayList<>();
-		UpstreamDirectory directory = known.directory();
-		follow(client, Feed.CONFIGURATION, ConfigDecoder.KIND, new ConfigSink(known.config(), log, onChange));
-		follow(client, Feed.UPSTREAMS, UpstreamDecoder.KIND,
-				new UpstreamSink(directory, loop, log, known.metrics(), onChange));
+		this.vmReplica = createReplica(Feed.VMS, new VmRecordSink(log, this::onRecords),
+				(listener) -> new ObjectFeed(client, loop.executor(), VmRecords.KIND,
+						OptionalLong.of(RECORDS_INTERVAL_MS), listener));
+		this.replicas = new ArrayList<>();
+		UpstreamDirectory directory = state.directory();
+		addReplica(client, Feed.CONFIGURATION, ConfigDecoder.KIND, new ConfigSink(state.config(), log, onChange));
+		addReplica(client, Feed.UPSTREAMS, UpstreamDecoder.KIND,
+				new UpstreamSink(directory, loop, log, state.metrics(), onChange));
 		if (settings.evacuationsEnabled()) {
 			directory.expectEvacuations();
-			follow(client, Feed.EVACUATIONS, Evacuations.KIND, new EvacuationSink(directory, log, onChange));
+			addReplica(client, Feed.EVACUATIONS, Evacuations.KIND, new EvacuationSink(directory, log, onChange));
 		}
-		follow(client, Feed.QUARANTINE, QuarantineRecords.KIND, new QuarantineSink(known.quarantine(), loop, log));
-		this.kinds.add(this.vms);
+		addReplica(client, Feed.QUARANTINE, QuarantineRecords.KIND, new QuarantineSink(state.quarantine(), loop, log));
+		this.replicas.add(this.vmReplica);
 	}
 
-	private void follow(ObjectClient client, Feed feed, String kind, ObjectSink sink) {
-		this.kinds.add(kind(feed, sink, (listener) -> watch(client, kind, listener)));
+	private void addReplica(ObjectClient client, Feed feed, String kind, ObjectSink sink) {
+		this.replicas.add(createReplica(feed, sink, (listener) -> createFeed(client, kind, listener)));
 	}
 
-	private ObjectFeed watch(ObjectClient client, String kind, FeedListener listener) {
+	private ObjectFeed createFeed(ObjectClient client, String kind, FeedListener listener) {
 		return new ObjectFeed(client, this.loop.executor(), kind, OptionalLong.empty(), listener);
 	}
 
-	private FeedReplica kind(Feed feed, ObjectSink sink, Function<FeedListener, ObjectSource> source) {
+	private FeedReplica createReplica(Feed feed, ObjectSink sink, Function<FeedListener, ObjectSource> source) {
 		return new FeedReplica(feed, sink, source, this.loop, this.log, this::onContact, this::publish);
 	}
 
 	/**
-	 * Return the duties of VMs that this one may be told by.
-	 * @return one or two duties
+	 * Return the leader roles whose leaders this VM may subscribe to.
+	 * @return one or two roles
 	 */
-	public List<LeaderRole> duties() {
-		return this.duties;
+	public List<LeaderRole> watchedRoles() {
+		return this.watchedRoles;
 	}
 
 	/**
-	 * Begin to follow.
+	 * Write this VM's record to the store and start replication.
 	 * @param peers the other VMs
-	 * @param address where this VM accepts them
+	 * @param address the address at which this VM accepts them
 	 */
 	public void start(PeerMesh peers, Address address) {
 		this.mesh = Optional.of(peers);
 		this.chooser.start(this.loop.nowMs());
 		VmRecord record = new VmRecord(this.settings.vm(), address, this.settings.failureDomain(),
 				this.settings.capacity());
-		this.own = Optional.of(record);
+		this.ownRecord = Optional.of(record);
 		publish(record, this::onFirstPublished);
-		this.loop.scheduleWithFixedDelay(REVIEW_MS, this::review);
+		this.loop.scheduleWithFixedDelay(REVIEW_INTERVAL_MS, this::review);
 	}
 
-	// Tries until it is done.
+	// Retries until the record is written.
 	private void publish(VmRecord own, Runnable onDone) {
 		this.records.publish(own, (done) -> {
 			if (done) {
-				this.recordedMs = this.loop.nowMs();
+				this.recordWrittenMs = this.loop.nowMs();
 				onDone.run();
 			}
 			else {
@@ -206,7 +209,7 @@
 	}
 
 	private void onFirstPublished() {
-		this.vms.follow();
+		this.vmReplica.startReading();
 		this.chooser.onRecordWritten(this.loop.nowMs());
 	}
 
@@ -223,70 +226,71 @@
 
 	private void review(LeaderView view, long now) {
 		this.chooser.setHasSubscribers(!this.subscribers.current(now).isEmpty());
-		updateDuties(this.chooser.watchedRoles(view, now));
-		boolean serving = this.kinds.stream().allMatch(FeedReplica::known);
-		StoreSourceChooser.Action step = this.chooser.review(view, serving, this.vms.known(), now);
-		switch (step) {
-			case PROBE -> this.records.probe((answered) -> onRequest(answered, now));
+		updateWatchedRoles(this.chooser.watchedRoles(view, now));
+		boolean loaded = this.replicas.stream().allMatch(FeedReplica::isLoaded);
+		StoreSourceChooser.Action action = this.chooser.review(view, loaded, this.vmReplica.isLoaded(), now);
+		switch (action) {
+			case PROBE -> this.records.probe((succeeded) -> onSourceProbed(succeeded, now));
 			case READ_STORE -> {
 				this.log.event(EventCode.STORE_FOLLOWED, "by", this.chooser.source(), "unfit",
 						this.chooser.preferredSource(view, now));
-				this.kinds.forEach(FeedReplica::follow);
+				this.replicas.forEach(FeedReplica::startReading);
 			}
 			case SUBSCRIBE -> {
 				this.log.event(EventCode.STORE_FOLLOWED, "by", this.chooser.source());
-				this.kinds.forEach(FeedReplica::stopFollowing);
+				this.replicas.forEach(FeedReplica::stopReading);
 			}
 			case KEEP -> {
-				// The usual case: the source is as good as it was.
+				// The current source is kept.
 			}
 		}
 		if (readsStore()) {
 			probeIfDue(now);
 		}
-		if (this.askedInVain && this.chooser.hasFreshSource()) {
-			this.askedInVain = false;
-			this.kinds.forEach(FeedReplica::onTold);
+		if (this.relayLost && this.chooser.hasFreshSource()) {
+			this.relayLost = false;
+			this.replicas.forEach(FeedReplica::onRelayRestored);
 		}
 	}
 
-	// Entries that vanish while nobody tells this VM what the store says are not trusted.
-	private void onRequest(boolean answered, long sentMs) {
-		if (answered) {
+	// Without a store and a relay, vanished entries are retained for a grace period.
+	private void onSourceProbed(boolean succeeded, long sentMs) {
+		if (succeeded) {
 			this.chooser.onProbeSuccess(sentMs);
 			review();
 		}
 		else if (!readsStore()) {
-			this.askedInVain = true;
+			this.relayLost = true;
 			this.chooser.onProbeFailure();
-			this.kinds.forEach(FeedReplica::onSilent);
+			this.replicas.forEach(FeedReplica::onProbeFailure);
 		}
 	}
 
-	private void updateDuties(List<LeaderRole> fresh) {
-		if (!fresh.equals(this.duties)) {
-			this.duties = fresh;
-			this.onDuties.run();
+	private void updateWatchedRoles(List<LeaderRole> current) {
+		if (!current.equals(this.watchedRoles)) {
+			this.watchedRoles = current;
+			this.onRolesChanged.run();
 		}
 	}
 
 	private void probeIfDue(long now) {
-		long period = this.subscribers.current(now).isEmpty() ? PROBE_MS : PROBE_FOR_OTHERS_MS;
-		if (now - this.probedMs < period) {
+		long intervalMs = this.subscribers.current(now).isEmpty() ? PROBE_INTERVAL_MS
+				: PROBE_WITH_SUBSCRIBERS_INTERVAL_MS;
+		if (now - this.lastProbeMs < intervalMs) {
 			return;
 		}
-		this.probedMs = now;
-		this.records.probe((answered) -> onProbed(answered, now));
+		this.lastProbeMs = now;
+		this.records.probe((succeeded) -> onProbed(succeeded, now));
 	}
 
-	private void onProbed(boolean answered, long sentMs) {
-		if (answered) {
+	private void onProbed(boolean succeeded, long sentMs) {
+		if (succeeded) {
 			this.chooser.onStoreRead(sentMs);
-			if (this.missed && readsStore()) {
-				this.kinds.forEach(FeedReplica::follow);
+			if (this.probeFailed && readsStore()) {
+				this.replicas.forEach(FeedReplica::startReading);
 			}
 		}
-		this.missed = !answered;
+		this.probeFailed = !succeeded;
 	}
 
 	private void onContact() {
@@ -305,7 +309,7 @@
 
 	@Override
 	public void onSubscriber(Consumer<String> listener) {
-		this.onFollower.add(listener);
+		this.subscriberListeners.add(listener);
 	}
 
 	@Override
@@ -315,7 +319,7 @@
 
 	@Override
 	public Set<String> relays() {
-		return this.mesh.map((peers) -> peers.preferredSources(RELAYS)).orElse(Set.of());
+		return this.mesh.map((peers) -> peers.preferredSources(RELAYS_PER_DOMAIN)).orElse(Set.of());
 	}
 
 	@Override
@@ -324,106 +328,107 @@
 	}
 
 	@Override
-	public void prepareRequest(String vm, NodeBeat.Builder question) {
-		if (!readsStore() && wanted().equals(vm)) {
-			question.setSubscribes(true);
-			this.kinds.forEach((kind) -> question.addKnown(kind.question()));
+	public void prepareRequest(String vm, NodeBeat.Builder request) {
+		if (!readsStore() && preferredSource().equals(vm)) {
+			request.setSubscribes(true);
+			this.replicas.forEach((replica) -> request.addKnown(replica.revision()));
 		}
 	}
 
-	private String wanted() {
+	private String preferredSource() {
 		return this.mesh.map((peers) -> this.chooser.preferredSource(peers.duties(), this.loop.nowMs())).orElse("");
 	}
 
 	@Override
-	public void onRequest(String vm, NodeBeat question, NodeBeat.Builder answer) {
+	public void onRequest(String vm, NodeBeat request, NodeBeat.Builder reply) {
 		long now = this.loop.nowMs();
 		if (this.chooser.canRelay(now)) {
-			answer.setPassesOn(true).setStoreAgeMs((int) this.chooser.storeAgeMs(now));
+			reply.setPassesOn(true).setStoreAgeMs((int) this.chooser.storeAgeMs(now));
 		}
-		if (question.getSubscribes()) {
-			if (this.subscribers.onAsked(vm, now)) {
-				this.onFollower.forEach((listener) -> listener.accept(vm));
+		if (request.getSubscribes()) {
+			if (this.subscribers.onRequest(vm, now)) {
+				this.subscriberListeners.forEach((listener) -> listener.accept(vm));
 			}
-			question.getKnownList().forEach((known) -> sendMissing(vm, known, now));
+			request.getKnownList().forEach((revision) -> sendMissing(vm, revision, now));
 		}
 	}
 
-	private void sendMissing(String vm, FeedRevision known, long now) {
-		for (FeedReplica kind : this.kinds) {
-			if (kind.lackedBy(known) && this.subscribers.sendWhole(vm, kind.feed(), now)) {
-				this.mesh.ifPresent((peers) -> peers.reply(vm, Envelope.newBuilder().setFeedUpdate(kind.whole())));
+	private void sendMissing(String vm, FeedRevision revision, long now) {
+		for (FeedReplica replica : this.replicas) {
+			if (replica.isNeededBy(revision) && this.subscribers.markSnapshotIfDue(vm, replica.feed(), now)) {
+				this.mesh
+					.ifPresent((peers) -> peers.reply(vm, Envelope.newBuilder().setFeedUpdate(replica.snapshot())));
 			}
 		}
 	}
 
 	@Override
-	public void onReply(String vm, NodeBeat answer) {
-		this.chooser.onAnswer(vm, answer.getPassesOn(), Integer.toUnsignedLong(answer.getStoreAgeMs()),
+	public void onReply(String vm, NodeBeat reply) {
+		this.chooser.onAnswer(vm, reply.getPassesOn(), Integer.toUnsignedLong(reply.getStoreAgeMs()),
 				this.loop.nowMs());
 	}
 
 	@Override
 	public void onFeedUpdate(FeedUpdate update) {
-		onEra(update.getEra(), "a VM that passes it on");
-		this.kinds.stream().filter((kind) -> kind.feed() == update.getFeed()).forEach((kind) -> kind.onUpdate(update));
+		onEra(update.getEra(), "a relay VM");
+		this.replicas.stream()
+			.filter((replica) -> replica.feed() == update.getFeed())
+			.forEach((replica) -> replica.onUpdate(update));
 	}
 
-	// What this VM wrote lately may be gone, and is written again by this VM. A change
-	// that
-	// is noticed in one kind's answer concerns all kinds.
-	private void onEra(long to, String by) {
+	// Recent writes of this VM may be lost, so they are repeated. A new era that is
+	// seen in one feed concerns all feeds.
+	private void onEra(long to, String reporter) {
 		if (to <= this.era) {
 			return;
 		}
-		this.log.event(EventCode.STORE_ERA_CHANGED, "from", this.era, "to", to, "by", by);
-		boolean first = this.kinds.stream().noneMatch(FeedReplica::known);
+		this.log.event(EventCode.STORE_ERA_CHANGED, "from", this.era, "to", to, "by", reporter);
+		boolean initial = this.replicas.stream().noneMatch(FeedReplica::isLoaded);
 		this.era = to;
-		if (first) {
+		if (initial) {
 			return;
 		}
-		this.onNewEra.run();
-		if (this.loop.nowMs() - this.recordedMs < COPY_AGE_MS) {
-			this.own.ifPresent((record) -> publish(record, () -> {
+		this.rollbackListener.run();
+		if (this.loop.nowMs() - this.recordWrittenMs < BACKUP_AGE_MS) {
+			this.ownRecord.ifPresent((record) -> publish(record, () -> {
 			}));
 		}
 		if (readsStore()) {
-			this.loop.execute(() -> this.kinds.forEach((kind) -> kind.followSince(to)));
+			this.loop.execute(() -> this.replicas.forEach((replica) -> replica.startReadingEra(to)));
 		}
 	}
 
 	/**
-	 * Hear of the store's return from an older copy.
-	 * @param listener runs after each; what this VM wrote there may be gone
+	 * Set the listener for rollbacks of the store.
+	 * @param listener runs after each rollback; recent writes of this VM may be lost
 	 */
-	public void onNewEra(Runnable listener) {
-		this.onNewEra = listener;
+	public void onRollback(Runnable listener) {
+		this.rollbackListener = listener;
 	}
 
 	/**
-	 * Return how often the store has come back from an older copy.
-	 * @return the count, as far as this VM was told
+	 * Return the number of rollbacks of the store.
+	 * @return the count, as far as known to this VM
 	 */
 	public long era() {
 		return this.era;
 	}
 
 	/**
-	 * Return how many objects this VM believes although the store, since it came back
-	 * from an older copy, holds others.
+	 * Return the number of objects whose local state overrides the store since a
+	 * rollback.
 	 * @return the count
 	 */
-	public long keptAgainstCopy() {
-		return this.kinds.stream().mapToLong(FeedReplica::kept).sum();
+	public long overrideCount() {
+		return this.replicas.stream().mapToLong(FeedReplica::overrideCount).sum();
 	}
 
 	/**
-	 * Return whether this VM follows the store itself and its last question went
-	 * unanswered.
+	 * Return whether this VM reads the store and its last probe failed.
 	 * @return true if the store cannot be reached
 	 */
-	public boolean missed() {
-		return readsStore() && this.missed;
+	public boolean isProbeFailing() {
+		return readsStore() && this.probeFailed;
 	}
 
 	@Override
--- a/node/src/main/java/org/tallycart/node/store/Subscribers.java
+++ b/node/src/main/java/org/tallycart/node/store/Subscribers.java
@@ -10,57 +10,58 @@
 import org.tallycart.wire.message.Feed;
 
 /**
- * The VMs to which this one passes on what it reads in the store.
+ * The VMs to which this one relays the objects of the store.
  * <p>
- * Not thread-safe: belongs to the event loop.
+ * Not thread-safe: confined to the event loop.
  */
 final class Subscribers {
 
 	/**
-	 * A VM that has not asked for this long follows another one, in milliseconds; it asks
-	 * five times a second.
+	 * Time without a heartbeat request after which a subscription expires, in
+	 * milliseconds; subscribers send five a second.
 	 */
-	private static final long LAPSE_MS = 1_500;
+	private static final long EXPIRY_MS = 1_500;
 
 	/**
-	 * Time between two sendings of all objects of a kind to a VM, in milliseconds: the
-	 * first may be on its way when the VM asks again.
+	 * Minimum time between two snapshots of a feed to one VM, in milliseconds: the first
+	 * may be in transit when the VM requests it again.
 	 */
-	private static final long RESEND_MS = 600;
+	private static final long SNAPSHOT_INTERVAL_MS = 600;
 
 	private final Map<String, Subscriber> subscribers = new HashMap<>();
 
-	// Returns whether the VM did not follow this one before.
-	boolean onAsked(String vm, long nowMs) {
+	// Returns whether the subscription is new.
+	boolean onRequest(String vm, long nowMs) {
 		Subscriber subscriber = this.subscribers.computeIfAbsent(vm, (key) -> new Subscriber());
-		boolean fresh = subscriber.askedMs == null || nowMs - subscriber.askedMs > LAPSE_MS;
-		subscriber.askedMs = nowMs;
-		return fresh;
+		boolean isNew = subscriber.lastRequestMs == null || nowMs - subscriber.lastRequestMs > EXPIRY_MS;
+		subscriber.lastRequestMs = nowMs;
+		return isNew;
 	}
 
-	// Whether a VM that lacks something of a kind is to be sent all of it now.
-	boolean sendWhole(String vm, Feed feed, long nowMs) {
+	// Returns whether a snapshot is due for a VM that lacks objects of a feed; if so,
+	// records it as sent.
+	boolean markSnapshotIfDue(String vm, Feed feed, long nowMs) {
 		Subscriber subscriber = this.subscribers.computeIfAbsent(vm, (key) -> new Subscriber());
-		Long before = subscriber.sentMs.get(feed);
-		boolean due = before == null || nowMs - before >= RESEND_MS;
+		Long lastSent = subscriber.snapshotSentMs.get(feed);
+		boolean due = lastSent == null || nowMs - lastSent >= SNAPSHOT_INTERVAL_MS;
 		if (due) {
-			subscriber.sentMs.put(feed, nowMs);
+			subscriber.snapshotSentMs.put(feed, nowMs);
 		}
 		return due;
 	}
 
 	List<String> current(long nowMs) {
 		this.subscribers.values()
-			.removeIf((subscriber) -> subscriber.askedMs != null && nowMs - subscriber.askedMs > LAPSE_MS);
+			.removeIf((subscriber) -> subscriber.lastRequestMs != null && nowMs - subscriber.lastRequestMs > EXPIRY_MS);
 		return new ArrayList<>(this.subscribers.keySet());
 	}
 
-	/** What is known of a VM that follows this one. */
+	/** The state of one subscription. */
 	private static final class Subscriber {
 
-		private final Map<Feed, Long> sentMs = new EnumMap<>(Feed.class);
+		private final Map<Feed, Long> snapshotSentMs = new EnumMap<>(Feed.class);
 
-		private @Nullable Long askedMs;
+		private @Nullable Long lastRequestMs;
 
 	}
 
--- a/node/src/main/java/org/tallycart/node/store/UpstreamSink.java
+++ b/node/src/main/java/org/tallycart/node/store/UpstreamSink.java
@@ -21,18 +21,18 @@
 import org.tallycart.runtime.event.EventCode;
 
 /**
- * Keeps the directory of upstreams up to date.
+ * Applies the store's upstream entries to the upstream directory.
  * <p>
- * Invariant: an entry that cannot be read leaves no upstream in use, and does not touch
- * the others. Not thread-safe: belongs to the event loop.
+ * Invariant: an invalid entry removes its upstream from use, and does not affect the
+ * others. Not thread-safe: confined to the event loop.
  */
 final class UpstreamSink implements ObjectSink {
 
 	/**
-	 * New entries of one list that get a line each; more, as at a start, are told in one.
-	 * At 108 upstreams that is one line of a start in place of two thirds of all.
+	 * Maximum number of new entries of one list that are logged in a line each. More, as
+	 * at startup, are logged in one line.
 	 */
-	private static final int MOST_SINGLE_LINES = 10;
+	private static final int MAX_SINGLE_LINES = 10;
 
 	private final UpstreamDirectory directory;
 
@@ -44,8 +44,8 @@
 
 	private final Runnable onChange;
 
-	// Entries that name no upstream to use, and why.
-	private final Map<String, EntryProblem> unreadable = new HashMap<>();
+	// Invalid entries by name, with what is wrong with them.
+	private final Map<String, EntryProblem> invalid = new HashMap<>();
 
 	UpstreamSink(UpstreamDirectory directory, EventLoop loop, NodeLog log, NodeMetrics metrics, Runnable onChange) {
 		this.directory = directory;
@@ -57,71 +57,71 @@
 
 	@Override
 	public void onAll(List<StoredObject> objects) {
-		Map<String, EntryProblem> former = Map.copyOf(this.unreadable);
-		this.unreadable.clear();
+		Map<String, EntryProblem> previous = Map.copyOf(this.invalid);
+		this.invalid.clear();
 		List<UpstreamEntry> entries = new ArrayList<>();
 		for (StoredObject object : objects) {
 			UpstreamDecoder.decode(object)
 				.peek(entries::add)
-				.peekLeft((problem) -> this.unreadable.put(object.name(), problem));
+				.peekLeft((problem) -> this.invalid.put(object.name(), problem));
 		}
 		Set<String> before = this.directory.ids();
-		this.unreadable.keySet().forEach(this.directory::removeInvalid);
+		this.invalid.keySet().forEach(this.directory::removeInvalid);
 		this.directory.replace(entries, this.loop.nowMs());
-		this.unreadable.forEach((name, problem) -> tellUnreadable(name, former.get(name), problem));
-		listed(entries.stream().filter((entry) -> !before.contains(entry.id())).toList());
+		this.invalid.forEach((name, problem) -> reportInvalid(name, previous.get(name), problem));
+		logListed(entries.stream().filter((entry) -> !before.contains(entry.id())).toList());
 		this.onChange.run();
 	}
 
 	@Override
 	public void onChanges(List<ObjectChange> changes) {
-		changes.forEach(this::take);
+		changes.forEach(this::apply);
 		this.onChange.run();
 	}
 
-	private void take(ObjectChange change) {
+	private void apply(ObjectChange change) {
 		StoredObject object = change.object();
 		if (change.gone()) {
-			this.unreadable.remove(object.name());
+			this.invalid.remove(object.name());
 			this.log.event(EventCode.UPSTREAM_UNLISTED, "upstream", object.name());
 			this.directory.remove(object.name(), this.loop.nowMs());
 			return;
 		}
 		UpstreamDecoder.decode(object).peek((entry) -> {
-			this.unreadable.remove(entry.id());
+			this.invalid.remove(entry.id());
 			if (this.directory.entry(entry.id()).map(entry::isChangedFrom).orElse(true)) {
-				listed(entry);
+				logListed(entry);
 			}
 			this.directory.put(entry, this.loop.nowMs());
 		}).peekLeft((problem) -> {
 			this.directory.removeInvalid(object.name());
-			tellUnreadable(object.name(), this.unreadable.put(object.name(), problem), problem);
+			reportInvalid(object.name(), this.invalid.put(object.name(), problem), problem);
 		});
 	}
 
-	// An entry that is read again and is as bad as before gets no line of its own.
-	private void tellUnreadable(String name, @Nullable EntryProblem before, EntryProblem problem) {
+	// Logged only when the problem changes, not each time the entry is read.
+	private void reportInvalid(String name, @Nullable EntryProblem before, EntryProblem problem) {
 		if (before != problem) {
 			this.metrics.onUnreadableEntry(problem);
 			this.log.event(EventCode.UPSTREAM_UNREADABLE, "upstream", name, "reason", problem);
 		}
 	}
 
-	private void listed(List<UpstreamEntry> fresh) {
-		if (fresh.size() <= MOST_SINGLE_LINES) {
-			fresh.forEach(this::listed);
+	private void logListed(List<UpstreamEntry> added) {
+		if (added.size() <= MAX_SINGLE_LINES) {
+			added.forEach(this::logListed);
 			return;
 		}
-		Map<String, Long> counts = fresh.stream()
+		Map<String, Long> counts = added.stream()
 			.collect(Collectors.groupingBy(UpstreamEntry::service, TreeMap::new, Collectors.counting()));
-		this.log.event(EventCode.UPSTREAMS_LISTED, "upstreams", fresh.size(), "draining",
-				fresh.stream().filter(UpstreamEntry::draining).count(), "by_service", counts);
+		this.log.event(EventCode.UPSTREAMS_LISTED, "upstreams", added.size(), "draining",
+				added.stream().filter(UpstreamEntry::draining).count(), "by_service", counts);
 	}
 
-	private void listed(UpstreamEntry entry) {
+	private void logListed(UpstreamEntry entry) {
 		this.log.event(EventCode.UPSTREAM_LISTED, "upstream", entry.id(), "service", entry.service(), "address",
 				entry.address(), "domain", entry.failureDomain(), "draining", entry.draining(), "cold_ms",
-				entry.coldMs(), "started", entry.startedMs().isPresent() ? entry.startedMs().getAsLong() : "untold");
+				entry.coldMs(), "started", entry.startedMs().isPresent() ? entry.startedMs().getAsLong() : "unknown");
 	}
 
 	@Override
@@ -135,12 +135,12 @@
 	}
 
 	@Override
-	public long untrustedMs() {
+	public long remainingGraceMs() {
 		return this.directory.remainingGraceMs(this.loop.nowMs());
 	}
 
 	@Override
-	public void distrust(long ms) {
+	public void extendGrace(long ms) {
 		this.directory.extendGraceUntil(this.loop.nowMs() + ms);
 	}
 
--- a/node/src/main/java/org/tallycart/node/store/VmRecordSink.java
+++ b/node/src/main/java/org/tallycart/node/store/VmRecordSink.java
@@ -16,7 +16,7 @@
 /**
  * Collects the records of all VMs.
  * <p>
- * Not thread-safe: belongs to the event loop.
+ * Not thread-safe: confined to the event loop.
  */
 final class VmRecordSink implements ObjectSink {
 
@@ -34,7 +34,7 @@
 	@Override
 	public void onAll(List<StoredObject> objects) {
 		this.records.clear();
-		objects.forEach(this::take);
+		objects.forEach(this::add);
 		this.onRecords.accept(this.records.values());
 	}
 
@@ -45,13 +45,13 @@
 				this.records.remove(change.object().name());
 			}
 			else {
-				take(change.object());
+				add(change.object());
 			}
 		}
 		this.onRecords.accept(this.records.values());
 	}
 
-	private void take(StoredObject object) {
+	private void add(StoredObject object) {
 		VmRecords.decode(object)
 			.peek((record) -> this.records.put(record.vm(), record))
 			.peekLeft((reason) -> this.log.event(EventCode.VM_LOST, "vm", object.name(), "reason", reason));
--- a/node/src/main/java/org/tallycart/node/store/package-info.java
+++ b/node/src/main/java/org/tallycart/node/store/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What the process learns from the platform's store: the configuration in force and the
- * upstreams that exist.
+ * Replication of the platform's store to this process: the active configuration, the
+ * upstreams, the quarantine and the VMs' records.
  */
 @NullMarked
 package org.tallycart.node.store;
--- a/node/src/test/java/org/tallycart/node/store/FeedReplicaTests.java
+++ b/node/src/test/java/org/tallycart/node/store/FeedReplicaTests.java
@@ -26,22 +26,18 @@
 import static org.testng.Assert.assertEquals;
 
 /**
- * Tests for VMs that come to know one kind of object by different ways, in virtual time.
+ * Tests for {@link FeedReplica}, in virtual time.
  * <p>
- * Seen, beside a busy machine: after the store had come back from an older copy, an
- * upstream that was gone stayed in use at one of three VMs for good. How it came about:
- * all three read the store, and one noticed the return most of a second later than the
- * others. By the time that its term for what the copy lacks was over, it no longer read
- * the store itself, and so read nothing; and whom it followed had ended its own term
- * before, and had nothing later to tell. Cause: two VMs at the same point of the store's
- * course were taken to believe the same.
+ * Guards against an object that stays on one VM for good after a rollback of the store:
+ * its overrides expire while it no longer reads the store, and its source is at the same
+ * point of the store's history.
  */
 public class FeedReplicaTests {
 
-	/** When what a copy lacks has been written again, in milliseconds. */
-	private static final long REWRITTEN_MS = 2_200;
+	/** Time after which overrides expire, in milliseconds. */
+	private static final long OVERRIDE_MS = 2_200;
 
-	private static final long LATER_MS = 850;
+	private static final long DELAY_MS = 850;
 
 	private final EmbeddedChannel channel = new EmbeddedChannel();
 
@@ -71,7 +67,7 @@
 		this.storePoint = new StorePoint(this.storePoint.era(), Math.max(revision, this.storePoint.revision()));
 	}
 
-	private void comeBackWithout(String name, long revision) {
+	private void rollBackWithout(String name, long revision) {
 		this.store.remove(name);
 		this.storePoint = new StorePoint(this.storePoint.era() + 1, revision);
 	}
@@ -83,93 +79,92 @@
 		this.channel.runPendingTasks();
 	}
 
-	/** Pattern: as seen; see above. */
 	@Test
-	void aVmThatStopsReadingWithinItsTermLearnsFromItsSourceWhatIsGone() {
-		Vm reader = new Vm();
-		Vm other = new Vm();
-		reader.kind.follow();
-		other.kind.follow();
-		comeBackWithout("dead", 5);
-		reader.kind.follow();
-		run(LATER_MS);
+	void aVmThatStopsReadingBeforeItsOverridesExpireLearnsOfARemovalFromItsSource() {
+		Vm first = new Vm();
+		Vm second = new Vm();
+		first.replica.startReading();
+		second.replica.startReading();
+		rollBackWithout("dead", 5);
+		first.replica.startReading();
+		run(DELAY_MS);
 		put("b", 6);
-		reader.kind.follow();
-		other.kind.follow();
-		assertEquals(other.known(), Set.of("a", "b", "dead"));
-		run(REWRITTEN_MS - LATER_MS);
-		assertEquals(reader.known(), Set.of("a", "b"));
-		other.kind.stopFollowing();
-		askFor(other, reader, LATER_MS * 2);
-		assertEquals(other.known(), Set.of("a", "b"));
+		first.replica.startReading();
+		second.replica.startReading();
+		assertEquals(second.objectNames(), Set.of("a", "b", "dead"));
+		run(OVERRIDE_MS - DELAY_MS);
+		assertEquals(first.objectNames(), Set.of("a", "b"));
+		second.replica.stopReading();
+		sendRequests(second, first, DELAY_MS * 2);
+		assertEquals(second.objectNames(), Set.of("a", "b"));
 	}
 
-	/** Pattern: its source changes within the term, to one whose term is over. */
+	/** The subscriber changes to a source whose overrides have expired already. */
 	@Test
-	void aVmThatWasToldWhatIsKeptLearnsFromItsNextSourceWhatIsGone() {
+	void aSubscriberThatReceivedOverridesLearnsOfARemovalFromItsNextSource() {
 		Vm first = new Vm();
 		Vm next = new Vm();
-		Vm follower = new Vm();
-		List.of(first, next).forEach((vm) -> vm.kind.follow());
-		comeBackWithout("dead", 5);
-		next.kind.follow();
-		run(LATER_MS);
-		first.kind.follow();
-		askFor(follower, first, 1);
-		assertEquals(follower.known(), Set.of("a", "dead"));
-		run(REWRITTEN_MS);
-		askFor(follower, next, LATER_MS * 2);
-		assertEquals(follower.known(), Set.of("a"));
+		Vm subscriber = new Vm();
+		List.of(first, next).forEach((vm) -> vm.replica.startReading());
+		rollBackWithout("dead", 5);
+		next.replica.startReading();
+		run(DELAY_MS);
+		first.replica.startReading();
+		sendRequests(subscriber, first, 1);
+		assertEquals(subscriber.objectNames(), Set.of("a", "dead"));
+		run(OVERRIDE_MS);
+		sendRequests(subscriber, next, DELAY_MS * 2);
+		assertEquals(subscriber.objectNames(), Set.of("a"));
 	}
 
-	/** Pattern: a source that has started since the return has read only the copy. */
+	/** The source has started after the rollback, and has read only the backup. */
 	@Test
-	void whatIsKeptIsNotGivenUpForTheCopyBeforeItsTermIsOver() {
+	void overridesAreNotDroppedForTheBackupBeforeTheyExpire() {
 		Vm started = new Vm();
-		Vm other = new Vm();
-		other.kind.follow();
-		comeBackWithout("dead", 5);
-		other.kind.follow();
-		other.kind.stopFollowing();
-		started.kind.follow();
-		askFor(other, started, REWRITTEN_MS / 2);
-		assertEquals(other.known(), Set.of("a", "dead"));
+		Vm second = new Vm();
+		second.replica.startReading();
+		rollBackWithout("dead", 5);
+		second.replica.startReading();
+		second.replica.stopReading();
+		started.replica.startReading();
+		sendRequests(second, started, OVERRIDE_MS / 2);
+		assertEquals(second.objectNames(), Set.of("a", "dead"));
 	}
 
-	// One VM asks another as it does five times a second, and is sent what it lacks.
-	private void askFor(Vm asker, Vm asked, long ms) {
-		for (long spent = 0; spent < ms; spent += 200) {
-			if (asked.kind.lackedBy(asker.kind.question())) {
-				asker.kind.onUpdate(asked.kind.whole());
+	// Sends heartbeat requests, and snapshots if they are needed.
+	private void sendRequests(Vm requester, Vm responder, long ms) {
+		for (long elapsedMs = 0; elapsedMs < ms; elapsedMs += 200) {
+			if (responder.replica.isNeededBy(requester.replica.revision())) {
+				requester.replica.onUpdate(responder.replica.snapshot());
 			}
 			run(Math.min(200, ms));
 		}
 	}
 
-	/** What one VM knows of the kind. */
+	/** A VM with its replica. */
 	private final class Vm {
 
 		private final Set<String> names = new TreeSet<>();
 
-		private final FeedReplica kind;
+		private final FeedReplica replica;
 
 		private Vm() {
 			NodeLog log = new NodeLog(() -> FeedReplicaTests.this.nowMs);
 			EventLoop loop = new EventLoop(FeedReplicaTests.this.channel.eventLoop(), Guard.install((code, detail) -> {
 				throw new IllegalStateException(detail);
 			}), () -> FeedReplicaTests.this.nowMs);
-			this.kind = new FeedReplica(Feed.UPSTREAMS, new Sink(this.names), Source::new, loop, log, () -> {
+			this.replica = new FeedReplica(Feed.UPSTREAMS, new Sink(this.names), Source::new, loop, log, () -> {
 			}, (FeedUpdate update) -> {
 			});
 		}
 
-		Set<String> known() {
+		Set<String> objectNames() {
 			return this.names;
 		}
 
 	}
 
-	/** Reads the store at once; changes are seen by the next list. */
+	/** Lists the store at once; changes are seen in the next list. */
 	private final class Source implements ObjectSource {
 
 		private final FeedListener listener;
@@ -186,12 +181,12 @@
 
 		@Override
 		public void stop() {
-			// Nothing is under way.
+			// Lists complete at once.
 		}
 
 	}
 
-	/** Takes what is believed. */
+	/** Collects the names of the effective objects. */
 	private record Sink(Set<String> names) implements ObjectSink {
 
 		@Override
--- a/node/src/test/java/org/tallycart/node/store/RollbackOverridesTests.java
+++ b/node/src/test/java/org/tallycart/node/store/RollbackOverridesTests.java
@@ -13,34 +13,34 @@
 import static org.testng.Assert.assertEquals;
 
 /**
- * Tests for what is known and newer than the copy from which the store has come back.
+ * Tests for {@link RollbackOverrides}.
  */
 public class RollbackOverridesTests {
 
-	private static final long TERM_MS = 2_000;
+	private static final long DURATION_MS = 2_000;
 
 	private static final StoredObject EARLIER = object("a", 5, "earlier");
 
 	private static final StoredObject LATER = object("a", 9, "later");
 
-	private RollbackOverrides copy = new RollbackOverrides(OptionalLong.of(TERM_MS));
+	private RollbackOverrides overrides = new RollbackOverrides(OptionalLong.of(DURATION_MS));
 
 	@BeforeMethod
 	void begin() {
-		this.copy = new RollbackOverrides(OptionalLong.of(TERM_MS));
+		this.overrides = new RollbackOverrides(OptionalLong.of(DURATION_MS));
 	}
 
 	private static StoredObject object(String name, long revision, String content) {
 		return StoredObject.of(name, revision, "\"" + content + "\"").get();
 	}
 
-	private List<StoredObject> back(Map<String, StoredObject> known, List<StoredObject> listed) {
-		this.copy.begin(known, listed, (mine, held) -> mine.revision() > held.revision(), 0);
-		return this.copy.apply(listed, 0);
+	private List<StoredObject> rollBack(Map<String, StoredObject> local, List<StoredObject> listed) {
+		this.overrides.onRollback(local, listed, (object, stored) -> object.revision() > stored.revision(), 0);
+		return this.overrides.apply(listed, 0);
 	}
 
 	@DataProvider
-	static Object[][] returns() {
+	static Object[][] rollbacks() {
 		return new Object[][] { { Map.of("a", LATER), List.of(EARLIER), List.of(LATER) },
 				{ Map.of("a", LATER), List.of(), List.of(LATER) },
 				{ Map.of("a", EARLIER), List.of(EARLIER), List.of(EARLIER) },
@@ -48,44 +48,44 @@
 				{ Map.of(), List.of(LATER), List.of(LATER) } };
 	}
 
-	@Test(dataProvider = "returns")
-	void whatIsNewerIsKeptUntilItsTermIsOver(Map<String, StoredObject> known, List<StoredObject> listed,
-			List<StoredObject> believed) {
-		assertEquals(back(known, listed), believed);
-		assertEquals(this.copy.apply(listed, TERM_MS - 1), believed);
-		assertEquals(this.copy.apply(listed, TERM_MS), listed);
+	@Test(dataProvider = "rollbacks")
+	void newerObjectsAreRetainedUntilTheOverridesExpire(Map<String, StoredObject> local, List<StoredObject> listed,
+			List<StoredObject> effective) {
+		assertEquals(rollBack(local, listed), effective);
+		assertEquals(this.overrides.apply(listed, DURATION_MS - 1), effective);
+		assertEquals(this.overrides.apply(listed, DURATION_MS), listed);
 	}
 
-	/** Pattern: an upstream had left before the return. */
+	/** An object was removed before the rollback. */
 	@Test
-	void whatHasGoneStaysAwayUntilItIsWrittenAgain() {
-		this.copy.onGone("a", -100);
-		assertEquals(back(Map.of(), List.of(EARLIER)), List.of());
-		StoredObject again = object("a", 7, "alive");
-		assertEquals(this.copy.apply(List.of(again), 10), List.of(again));
+	void aRemovedObjectStaysRemovedUntilItIsWrittenAgain() {
+		this.overrides.onRemoved("a", -100);
+		assertEquals(rollBack(Map.of(), List.of(EARLIER)), List.of());
+		StoredObject rewritten = object("a", 7, "alive");
+		assertEquals(this.overrides.apply(List.of(rewritten), 10), List.of(rewritten));
 	}
 
 	@Test
-	void whatWentLongAgoIsNotRemembered() {
-		this.copy.onGone("a", -61_000);
-		assertEquals(back(Map.of(), List.of(EARLIER)), List.of(EARLIER));
+	void anOldRemovalIsNotRemembered() {
+		this.overrides.onRemoved("a", -61_000);
+		assertEquals(rollBack(Map.of(), List.of(EARLIER)), List.of(EARLIER));
 	}
 
 	@Test
-	void whatIsWrittenInTheNewEraIsTaken() {
-		back(Map.of("a", LATER), List.of(EARLIER));
+	void anObjectThatIsWrittenInTheNewEraIsNotOverridden() {
+		rollBack(Map.of("a", LATER), List.of(EARLIER));
 		StoredObject fresh = object("a", 6, "fresh");
-		this.copy.onChanges(List.of(new ObjectChange(fresh, false)));
-		assertEquals(this.copy.apply(List.of(fresh), 10), List.of(fresh));
-		assertEquals(this.copy.count(), 0);
+		this.overrides.onChanges(List.of(new ObjectChange(fresh, false)));
+		assertEquals(this.overrides.apply(List.of(fresh), 10), List.of(fresh));
+		assertEquals(this.overrides.count(), 0);
 	}
 
 	@Test
-	void withoutATermItIsKeptForGood() {
-		this.copy = new RollbackOverrides(OptionalLong.empty());
-		assertEquals(back(Map.of("a", LATER), List.of(EARLIER)), List.of(LATER));
-		assertEquals(this.copy.apply(List.of(EARLIER), 1_000_000), List.of(LATER));
-		assertEquals(this.copy.dueMs(0), OptionalLong.empty());
+	void withoutADurationOverridesDoNotExpire() {
+		this.overrides = new RollbackOverrides(OptionalLong.empty());
+		assertEquals(rollBack(Map.of("a", LATER), List.of(EARLIER)), List.of(LATER));
+		assertEquals(this.overrides.apply(List.of(EARLIER), 1_000_000), List.of(LATER));
+		assertEquals(this.overrides.remainingMs(0), OptionalLong.empty());
 	}
 
 }
