--- a/node/src/main/java/org/tallycart/node/Node.java
+++ b/node/src/main/java/org/tallycart/node/Node.java
@@ -203,7 +203,7 @@
 	private void wantDuties() {
 		List<LeaderRole> duties = new ArrayList<>(this.pieces.duties());
 		duties.addAll(this.store.watchedRoles());
-		duties.addAll(this.statements.duties());
+		duties.addAll(this.statements.watchedRoles());
 		this.mesh.setWatchedRoles(duties);
 	}
 
@@ -252,9 +252,9 @@
 		this.metrics.gauge("evacuated_domains", () -> this.directory.evacuatedDomains().size());
 		this.metrics.gauge("store.era", this.store::era);
 		this.metrics.gauge("store.kept_against_copy", this.store::overrideCount);
-		this.metrics.gauge("upstreams.limited", this.statements::limited);
-		this.metrics.gauge("upstreams.leaving", this.statements::leaving);
-		this.metrics.gauge("upstreams.resting", this.statements::resting);
+		this.metrics.gauge("upstreams.limited", this.statements::limitedCount);
+		this.metrics.gauge("upstreams.leaving", this.statements::drainingCount);
+		this.metrics.gauge("upstreams.resting", this.statements::backoffCount);
 		this.metrics.gauge("quarantine.requests", () -> this.quarantine.all().size());
 		this.metrics.gauge("store.following", () -> this.store.readsStore() ? 1 : 0);
 		this.drainAction = () -> beginDrain(listeners.callers());
@@ -277,8 +277,8 @@
 		this.directory.expireVanished(this.loop.nowMs());
 		this.cold.expire(this.loop.nowMs());
 		this.crashNews.tick();
-		this.statements.tick();
-		this.permits.tick();
+		this.statements.refresh();
+		this.permits.expire();
 		this.http.closeStale();
 		this.readiness.ready();
 	}
--- a/node/src/main/java/org/tallycart/node/statement/PermitService.java
+++ b/node/src/main/java/org/tallycart/node/statement/PermitService.java
@@ -20,39 +20,39 @@
 import org.tallycart.wire.message.LimitAsk;
 
 /**
- * Gets permits to send to upstreams that have named a limit: from the VM that grants them
- * for all, or here, where this VM does so. A request to another upstream asks nobody.
- * Calls of a stage pool are all made by its dispatcher, which grants them itself.
+ * Acquires permits to send requests to upstreams with a stated limit, from the leader of
+ * {@link LeaderRole#PERMIT_GRANTER} or locally if this VM is the leader. Upstreams
+ * without a limit need no permit. The dispatcher of a stage pool makes all calls of the
+ * pool, and grants their permits itself.
  * <p>
- * It protects upstreams in need from all VMs together, and uses what they still take. A
- * fixed part for each VM would keep the limit, too, and waste what falls to VMs whose
- * callers do not want it.
+ * One VM grants the permits for all, since a fixed share of the limit would be wasted at
+ * VMs without demand.
  * <p>
- * Invariants: without a permit nothing is sent to an upstream that is known to have a
- * limit; a permit is used once. A VM that does not know the others grants nothing. Not
- * thread-safe: belongs to the event loop.
+ * Invariants: nothing is sent without a permit to an upstream that is known to have a
+ * limit; a permit is used once. A VM that does not know the other VMs grants nothing. Not
+ * thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
 public final class PermitService implements PeerMessageHandler, CallLimiter {
 
 	/**
-	 * An answer that takes longer is not waited for, in milliseconds: VMs are a few
-	 * milliseconds apart, and the request has other upstreams to go to.
+	 * Timeout of a permit request, in milliseconds; after it, the caller's request may
+	 * use another upstream.
 	 */
-	private static final long ANSWER_MS = 150;
+	private static final long REPLY_TIMEOUT_MS = 150;
 
 	/**
-	 * When to ask again where it is not known who grants, in milliseconds: about half of
-	 * what it takes to find that out.
+	 * Delay before a retry if the granting VM is not known or does not reply, in
+	 * milliseconds.
 	 */
-	private static final long UNKNOWN_MS = 100;
+	private static final long RETRY_DELAY_MS = 100;
 
-	private final UpstreamRateLimiter grants = new UpstreamRateLimiter();
+	private final UpstreamRateLimiter rateLimiter = new UpstreamRateLimiter();
 
-	private final Map<String, Long> freeFromMs = new HashMap<>();
+	private final Map<String, Long> nextPermitMs = new HashMap<>();
 
-	private final Map<Long, PendingRequest> pending = new HashMap<>();
+	private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
 
 	private final String vm;
 
@@ -68,10 +68,10 @@
 
 	/**
 	 * Create a service.
-	 * @param vm this VM's name
-	 * @param statements knows the limits
+	 * @param vm the name of this VM
+	 * @param statements the statements of upstreams, with their limits
 	 * @param loop the event loop
-	 * @param metrics what is counted
+	 * @param metrics the metrics of this process
 	 */
 	public PermitService(String vm, UpstreamStatements statements, EventLoop loop, NodeMetrics metrics) {
 		this.vm = vm;
@@ -81,7 +81,7 @@
 	}
 
 	/**
-	 * Begin to work with other VMs.
+	 * Start to exchange messages with other VMs.
 	 * @param peers the other VMs
 	 */
 	public void start(PeerMesh peers) {
@@ -89,93 +89,95 @@
 	}
 
 	/**
-	 * Return whether an upstream has named a limit.
+	 * Return whether an upstream has stated a limit.
 	 * @param upstream the upstream
 	 * @return true if a permit is needed
 	 */
 	public boolean hasLimit(UpstreamEntry upstream) {
-		return this.statements.perSecond(upstream).isPresent();
+		return this.statements.limitPerSecond(upstream).isPresent();
 	}
 
 	/**
-	 * Return how long it takes until a permit may be had, as far as this VM was told.
+	 * Return the time until a permit may be available, according to the last denial.
 	 * @param upstream the upstream
-	 * @return milliseconds; 0 if it is worth to ask now, or has no limit
+	 * @return milliseconds; 0 if a permit may be available now, or none is needed
 	 */
 	public long nextPermitInMs(UpstreamEntry upstream) {
-		if (this.freeFromMs.isEmpty()) {
+		if (this.nextPermitMs.isEmpty()) {
 			return 0;
 		}
-		Long from = this.freeFromMs.get(upstream.incarnation());
+		Long from = this.nextPermitMs.get(upstream.incarnation());
 		return (from == null || !hasLimit(upstream)) ? 0 : Math.max(from - this.loop.nowMs(), 0);
 	}
 
 	/**
-	 * Ask for a permit to send one request.
-	 * @param upstream where to
-	 * @param patienceMs how long the request may wait for its turn
-	 * @param consumer takes the answer, at once or later
+	 * Acquire a permit to send one request.
+	 * @param upstream the upstream
+	 * @param maxWaitMs how long the request may wait for its turn, in milliseconds
+	 * @param consumer receives the permit or its denial, at once or later
 	 */
-	public void acquire(UpstreamEntry upstream, long patienceMs, Consumer<Permit> consumer) {
+	public void acquire(UpstreamEntry upstream, long maxWaitMs, Consumer<Permit> consumer) {
 		String incarnation = upstream.incarnation();
-		Consumer<Permit> asker = (permit) -> {
+		Consumer<Permit> listener = (permit) -> {
 			this.metrics.onPermit(permit.granted());
 			if (!permit.granted()) {
-				this.freeFromMs.put(incarnation, this.loop.nowMs() + permit.waitMs());
+				this.nextPermitMs.put(incarnation, this.loop.nowMs() + permit.waitMs());
 			}
 			consumer.accept(permit);
 		};
-		Optional<String> holder = holder();
-		if (holder.isEmpty()) {
-			asker.accept(Permit.denied(UNKNOWN_MS));
+		Optional<String> granter = granter();
+		if (granter.isEmpty()) {
+			listener.accept(Permit.denied(RETRY_DELAY_MS));
 		}
-		else if (holder.get().equals(this.vm)) {
-			asker.accept(grant(incarnation, LeaderRole.PERMIT_GRANTER, patienceMs));
+		else if (granter.get().equals(this.vm)) {
+			listener.accept(grant(incarnation, LeaderRole.PERMIT_GRANTER, maxWaitMs));
 		}
 		else {
-			askAt(holder.get(), incarnation, patienceMs, asker);
+			sendRequest(granter.get(), incarnation, maxWaitMs, listener);
 		}
 	}
 
-	// Empty while that is not known.
-	private Optional<String> holder() {
+	// Returns the VM that grants permits; empty while it is not known.
+	private Optional<String> granter() {
 		return this.mesh.filter((peers) -> peers.knownVmCount() > 0)
 			.filter((peers) -> peers.duties().isLeaderKnown(LeaderRole.PERMIT_GRANTER, this.loop.nowMs()))
 			.map((peers) -> peers.holder(LeaderRole.PERMIT_GRANTER));
 	}
 
-	private void askAt(String holder, String incarnation, long patienceMs, Consumer<Permit> asker) {
+	private void sendRequest(String granter, String incarnation, long maxWaitMs, Consumer<Permit> listener) {
 		long number = ++this.lastNumber;
-		this.pending.put(number, new PendingRequest(holder, asker));
-		Envelope.Builder ask = StatementMessageCodec.ask(number, this.statements.encoded(incarnation), patienceMs);
-		this.mesh.ifPresent((peers) -> peers.send(holder, ask));
-		this.loop.schedule(ANSWER_MS, () -> settle(number, Permit.denied(UNKNOWN_MS)));
+		this.pendingRequests.put(number, new PendingRequest(granter, listener));
+		Envelope.Builder request = StatementMessageCodec.encodeRequest(number, this.statements.encodeLimit(incarnation),
+				maxWaitMs);
+		this.mesh.ifPresent((peers) -> peers.send(granter, request));
+		this.loop.schedule(REPLY_TIMEOUT_MS, () -> complete(number, Permit.denied(RETRY_DELAY_MS)));
 	}
 
-	private void settle(long number, Permit permit) {
-		PendingRequest asked = this.pending.remove(number);
-		if (asked != null) {
-			asked.asker.accept(permit);
+	private void complete(long number, Permit permit) {
+		PendingRequest request = this.pendingRequests.remove(number);
+		if (request != null) {
+			request.listener.accept(permit);
 		}
 	}
 
-	private Permit grant(String incarnation, LeaderRole duty, long patienceMs) {
-		OptionalDouble perSecond = this.statements.perSecond(incarnation);
+	private Permit grant(String incarnation, LeaderRole role, long maxWaitMs) {
+		OptionalDouble perSecond = this.statements.limitPerSecond(incarnation);
 		if (perSecond.isEmpty()) {
 			return Permit.UNLIMITED;
 		}
-		return this.grants.acquire(incarnation, perSecond.getAsDouble(), share(duty), patienceMs, this.loop.nowMs());
+		return this.rateLimiter.acquire(incarnation, perSecond.getAsDouble(), rateShare(role), maxWaitMs,
+				this.loop.nowMs());
 	}
 
-	private double share(LeaderRole duty) {
-		return this.mesh.map((peers) -> peers.shareOfRate(duty)).orElse(0.0);
+	private double rateShare(LeaderRole role) {
+		return this.mesh.map((peers) -> peers.shareOfRate(role)).orElse(0.0);
 	}
 
 	@Override
 	public boolean mayCall(UpstreamEntry worker) {
-		OptionalDouble perSecond = this.statements.perSecond(worker);
-		return perSecond.isEmpty() || this.grants.isAvailable(worker.incarnation(), perSecond.getAsDouble(),
-				share(LeaderRole.poolDispatcher(worker.service())), this.loop.nowMs());
+		OptionalDouble perSecond = this.statements.limitPerSecond(worker);
+		return perSecond.isEmpty() || this.rateLimiter.isAvailable(worker.incarnation(), perSecond.getAsDouble(),
+				rateShare(LeaderRole.poolDispatcher(worker.service())), this.loop.nowMs());
 	}
 
 	@Override
@@ -191,55 +193,55 @@
 	@Override
 	public void onMessage(String from, Envelope message) {
 		if (message.hasLimitAsk()) {
-			onAsk(from, message.getLimitAsk());
+			onPermitRequest(from, message.getLimitAsk());
 		}
 		else if (message.hasLimitAnswer()) {
-			onAnswer(from, message.getLimitAnswer());
+			onPermitReply(from, message.getLimitAnswer());
 		}
 	}
 
-	// Whoever asks may know the limit better than this VM, or see another VM as the one
-	// that grants.
-	private void onAsk(String from, LimitAsk ask) {
-		String incarnation = ask.getLimit().getIncarnation();
-		this.statements.learn(from, ask.getLimit());
-		boolean grantsHere = holder().filter(this.vm::equals).isPresent();
+	// The requester may know a later limit than this VM, or see another VM as the
+	// leader.
+	private void onPermitRequest(String from, LimitAsk request) {
+		String incarnation = request.getLimit().getIncarnation();
+		this.statements.mergeRemoteLimit(from, request.getLimit());
+		boolean grantsHere = granter().filter(this.vm::equals).isPresent();
 		Permit permit = grantsHere
-				? grant(incarnation, LeaderRole.PERMIT_GRANTER, Integer.toUnsignedLong(ask.getPatienceMs()))
-				: Permit.denied(UNKNOWN_MS);
-		Envelope.Builder answer = StatementMessageCodec.answer(ask.getNumber(), permit,
-				this.statements.encoded(incarnation));
-		this.mesh.ifPresent((peers) -> peers.reply(from, answer));
+				? grant(incarnation, LeaderRole.PERMIT_GRANTER, Integer.toUnsignedLong(request.getPatienceMs()))
+				: Permit.denied(RETRY_DELAY_MS);
+		Envelope.Builder reply = StatementMessageCodec.encodeReply(request.getNumber(), permit,
+				this.statements.encodeLimit(incarnation));
+		this.mesh.ifPresent((peers) -> peers.reply(from, reply));
 	}
 
-	private void onAnswer(String from, LimitAnswer answer) {
-		this.statements.learn(from, answer.getLimit());
-		settle(answer.getNumber(), new Permit(answer.getGranted(), Integer.toUnsignedLong(answer.getWaitMs())));
+	private void onPermitReply(String from, LimitAnswer reply) {
+		this.statements.mergeRemoteLimit(from, reply.getLimit());
+		complete(reply.getNumber(), new Permit(reply.getGranted(), Integer.toUnsignedLong(reply.getWaitMs())));
 	}
 
 	@Override
-	public void onLost(String lost) {
-		Map<Long, PendingRequest> asked = new HashMap<>(this.pending);
-		asked.forEach((number, each) -> {
-			if (each.holder.equals(lost)) {
-				settle(number, Permit.denied(UNKNOWN_MS));
+	public void onLost(String failedVm) {
+		Map<Long, PendingRequest> requests = new HashMap<>(this.pendingRequests);
+		requests.forEach((number, request) -> {
+			if (request.granter.equals(failedVm)) {
+				complete(number, Permit.denied(RETRY_DELAY_MS));
 			}
 		});
 	}
 
-	/** Drop what is of no use any more. To be called now and then. */
-	public void tick() {
-		this.grants.expire(this.loop.nowMs());
-		this.freeFromMs.values().removeIf((from) -> from <= this.loop.nowMs());
+	/** Drop expired state. Must be called periodically. */
+	public void expire() {
+		this.rateLimiter.expire(this.loop.nowMs());
+		this.nextPermitMs.values().removeIf((from) -> from <= this.loop.nowMs());
 	}
 
 	/**
-	 * A question that is not answered yet.
+	 * A permit request without a reply so far.
 	 *
-	 * @param holder who was asked
-	 * @param asker takes the answer
+	 * @param granter the VM that was asked
+	 * @param listener receives the permit
 	 */
-	private record PendingRequest(String holder, Consumer<Permit> asker) {
+	private record PendingRequest(String granter, Consumer<Permit> listener) {
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/statement/StatementKind.java
+++ b/node/src/main/java/org/tallycart/node/statement/StatementKind.java
@@ -1,17 +1,18 @@
 package org.tallycart.node.statement;
 
 /**
- * What an upstream may say of itself in a reply.
+ * Kind of statement that an upstream makes about itself in a reply. The names appear in
+ * metrics and log lines.
  *
  * @since 0.1
  */
 public enum StatementKind {
 
-	/** How many requests a second it takes from all VMs together. */
+	/** The maximum number of requests a second from all VMs together. */
 	LIMIT,
-	/** That it leaves. */
+	/** The draining state of the upstream. */
 	LEAVING,
-	/** For how long it wants no requests from the VM that it has refused. */
+	/** The backoff that the upstream asks of a VM that it has refused. */
 	REST
 
 }
--- a/node/src/main/java/org/tallycart/node/statement/StatementMessageCodec.java
+++ b/node/src/main/java/org/tallycart/node/statement/StatementMessageCodec.java
@@ -14,27 +14,27 @@
 import org.tallycart.wire.message.UpstreamLimit;
 
 /**
- * Translates what upstreams have said of themselves to and from the messages between VMs.
+ * Converts statements of upstreams to and from messages between VMs.
  * <p>
- * Thread-safe: holds no state.
+ * Thread-safe: stateless.
  */
 final class StatementMessageCodec {
 
 	private StatementMessageCodec() {
 	}
 
-	static Envelope.Builder notice(Map<String, StatedLimits.LimitStatement> limits, Collection<String> leaving) {
-		StatementNotice.Builder notice = StatementNotice.newBuilder().addAllLeaving(leaving);
-		limits.forEach((incarnation, named) -> notice.addLimits(encode(incarnation, named)));
+	static Envelope.Builder encodeNotice(Map<String, StatedLimits.LimitStatement> limits, Collection<String> draining) {
+		StatementNotice.Builder notice = StatementNotice.newBuilder().addAllLeaving(draining);
+		limits.forEach((incarnation, statement) -> notice.addLimits(encode(incarnation, statement)));
 		return Envelope.newBuilder().setStatementNotice(notice);
 	}
 
-	static Envelope.Builder ask(long number, UpstreamLimit limit, long patienceMs) {
+	static Envelope.Builder encodeRequest(long number, UpstreamLimit limit, long maxWaitMs) {
 		return Envelope.newBuilder()
-			.setLimitAsk(LimitAsk.newBuilder().setNumber(number).setLimit(limit).setPatienceMs((int) patienceMs));
+			.setLimitAsk(LimitAsk.newBuilder().setNumber(number).setLimit(limit).setPatienceMs((int) maxWaitMs));
 	}
 
-	static Envelope.Builder answer(long number, Permit permit, UpstreamLimit limit) {
+	static Envelope.Builder encodeReply(long number, Permit permit, UpstreamLimit limit) {
 		return Envelope.newBuilder()
 			.setLimitAnswer(LimitAnswer.newBuilder()
 				.setNumber(number)
@@ -43,12 +43,12 @@
 				.setLimit(limit));
 	}
 
-	static UpstreamLimit encode(String incarnation, StatedLimits.LimitStatement named) {
+	static UpstreamLimit encode(String incarnation, StatedLimits.LimitStatement statement) {
 		return UpstreamLimit.newBuilder()
 			.setIncarnation(incarnation)
-			.setLimited(named.perSecond().isPresent())
-			.setPerSecond(named.perSecond().orElse(0))
-			.setSaid(named.statedAt().packed())
+			.setLimited(statement.perSecond().isPresent())
+			.setPerSecond(statement.perSecond().orElse(0))
+			.setSaid(statement.statedAt().packed())
 			.build();
 	}
 
--- a/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
+++ b/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
@@ -27,24 +27,25 @@
 import org.tallycart.wire.message.UpstreamLimit;
 
 /**
- * What upstreams say of themselves in their replies. The limits that they name, and that
- * they leave, is known at all VMs: whichever VM hears it tells the others at once; a VM
- * that starts is told before it learns which upstreams there are. The platform's store is
- * not needed for it, and may be away. A rest is asked of one VM, and no other is told.
+ * Statements that upstreams make about themselves in their replies. Stated limits and
+ * draining are distributed to all VMs: the VM that receives such a statement sends it to
+ * the others at once, and a VM that starts receives it before it learns of the upstreams.
+ * This works without the platform's store. A backoff concerns only the VM that was asked
+ * for it, and is not distributed.
  * <p>
- * Not thread-safe: belongs to the event loop.
+ * Not thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
 public final class UpstreamStatements implements PeerMessageHandler {
 
-	/** An upstream that is not the one that was meant says nothing of the one meant. */
+	/** HTTP status of a reply that comes from another upstream than the addressed one. */
 	private static final int MISDIRECTED = 421;
 
-	private final StatedLimits named = new StatedLimits();
+	private final StatedLimits limits = new StatedLimits();
 
-	// By incarnation, what it has last said so that it cannot be read.
-	private final Map<String, Set<StatementKind>> unreadable = new HashMap<>();
+	// Kinds of the statements that were last malformed, by incarnation.
+	private final Map<String, Set<StatementKind>> malformed = new HashMap<>();
 
 	private final EventLoop loop;
 
@@ -56,46 +57,46 @@
 
 	private final UpstreamDirectory directory;
 
-	private final UnavailabilityRegistry absences;
+	private final UnavailabilityRegistry unavailability;
 
-	private final NoticeDistributor spread;
+	private final NoticeDistributor distributor;
 
-	private final Runnable onDuties;
+	private final Runnable onRolesChanged;
 
 	/**
-	 * Create the statements that a process knows.
+	 * Create the statements of a process.
 	 * @param loop the event loop
-	 * @param clock stamps what is heard; the same that stamps messages to other VMs
-	 * @param log where changes are written
-	 * @param metrics what is counted
-	 * @param directory tells which upstreams exist
-	 * @param spread the way to the other VMs
-	 * @param onDuties runs after each change of the duties that matter to this VM
+	 * @param clock stamps statements; the same clock that stamps messages to other VMs
+	 * @param log the log for changes
+	 * @param metrics the metrics of this process
+	 * @param directory the directory of upstreams
+	 * @param distributor distributes notices to the other VMs
+	 * @param onRolesChanged runs after each change of {@link #watchedRoles()}
 	 */
 	public UpstreamStatements(EventLoop loop, Supplier<HybridTimestamp> clock, NodeLog log, NodeMetrics metrics,
-			UpstreamDirectory directory, NoticeDistributor spread, Runnable onDuties) {
+			UpstreamDirectory directory, NoticeDistributor distributor, Runnable onRolesChanged) {
 		this.loop = loop;
 		this.clock = clock;
 		this.log = log;
 		this.metrics = metrics;
 		this.directory = directory;
-		this.absences = directory.unavailability();
-		this.spread = spread;
-		this.onDuties = onDuties;
-		spread.onSubscriber(this::tellAll);
+		this.unavailability = directory.unavailability();
+		this.distributor = distributor;
+		this.onRolesChanged = onRolesChanged;
+		distributor.onSubscriber(this::sendAll);
 	}
 
 	/**
-	 * Return the duties of VMs that this one may ask.
-	 * @return none while no upstream has named a limit
+	 * Return the leader roles whose leaders this VM may ask for permits.
+	 * @return an empty list while no upstream has stated a limit
 	 */
-	public List<LeaderRole> duties() {
-		return this.named.isEmpty() ? List.of() : List.of(LeaderRole.PERMIT_GRANTER);
+	public List<LeaderRole> watchedRoles() {
+		return this.limits.isEmpty() ? List.of() : List.of(LeaderRole.PERMIT_GRANTER);
 	}
 
 	/**
-	 * Take what a reply says. To be called for each.
-	 * @param upstream who was asked
+	 * Process the statements in a reply. Must be called for each reply.
+	 * @param upstream the upstream that was addressed
 	 * @param reply the reply
 	 */
 	public void onReply(UpstreamEntry upstream, UpstreamReply reply) {
@@ -103,96 +104,95 @@
 			return;
 		}
 		onLimit(upstream, reply);
-		if (readable(upstream, StatementKind.LEAVING, reply.draining()) && reply.draining().value().orElse(false)) {
-			onLeaving(upstream.incarnation(), "reply");
+		if (isWellFormed(upstream, StatementKind.LEAVING, reply.draining()) && reply.draining().value().orElse(false)) {
+			onDraining(upstream.incarnation(), "reply");
 		}
-		if (readable(upstream, StatementKind.REST, reply.retryAfterMs())) {
-			reply.retryAfterMs().value().ifPresent((ms) -> onRest(upstream, ms));
+		if (isWellFormed(upstream, StatementKind.REST, reply.retryAfterMs())) {
+			reply.retryAfterMs().value().ifPresent((ms) -> onBackoff(upstream, ms));
 		}
 	}
 
 	private void onLimit(UpstreamEntry upstream, UpstreamReply reply) {
 		Optional<Double> limit = reply.maxRequestsPerSecond().value();
-		// A failure may come from what stands before the upstream, which knows no limit.
-		boolean tells = limit.isPresent() || reply.success();
-		if (readable(upstream, StatementKind.LIMIT, reply.maxRequestsPerSecond()) && tells) {
+		// A failure may come from a proxy in front of the upstream, which knows no limit.
+		boolean conclusive = limit.isPresent() || reply.success();
+		if (isWellFormed(upstream, StatementKind.LIMIT, reply.maxRequestsPerSecond()) && conclusive) {
 			onLimit(upstream.incarnation(),
 					limit.isPresent() ? OptionalDouble.of(limit.get()) : OptionalDouble.empty());
 		}
 	}
 
-	// An upstream that goes on to say what cannot be read gets no line of its own for
-	// each reply.
-	private boolean readable(UpstreamEntry upstream, StatementKind kind, ParsedField<?> stated) {
-		if (stated.isMalformed()) {
+	// Logged once until the statement is well-formed again, not for each reply.
+	private boolean isWellFormed(UpstreamEntry upstream, StatementKind kind, ParsedField<?> field) {
+		if (field.isMalformed()) {
 			this.metrics.onUnreadableStatement(kind);
-			if (this.unreadable.computeIfAbsent(upstream.incarnation(), (key) -> EnumSet.noneOf(StatementKind.class))
+			if (this.malformed.computeIfAbsent(upstream.incarnation(), (key) -> EnumSet.noneOf(StatementKind.class))
 				.add(kind)) {
 				this.log.event(EventCode.UPSTREAM_STATEMENT_UNREADABLE, "upstream", upstream.id(), "statement", kind);
 			}
 			return false;
 		}
-		if (stated.value().isPresent() && !this.unreadable.isEmpty()) {
-			Optional.ofNullable(this.unreadable.get(upstream.incarnation())).ifPresent((kinds) -> kinds.remove(kind));
+		if (field.value().isPresent() && !this.malformed.isEmpty()) {
+			Optional.ofNullable(this.malformed.get(upstream.incarnation())).ifPresent((kinds) -> kinds.remove(kind));
 		}
 		return true;
 	}
 
-	private void onLeaving(String incarnation, String by) {
-		if (this.absences.onDraining(incarnation, this.loop.nowMs())) {
-			this.log.event(EventCode.UPSTREAM_LEAVES, "upstream", incarnation, "by", by);
-			spread(StatementMessageCodec.notice(Map.of(), Set.of(incarnation)));
+	private void onDraining(String incarnation, String source) {
+		if (this.unavailability.onDraining(incarnation, this.loop.nowMs())) {
+			this.log.event(EventCode.UPSTREAM_LEAVES, "upstream", incarnation, "by", source);
+			distribute(StatementMessageCodec.encodeNotice(Map.of(), Set.of(incarnation)));
 		}
 	}
 
-	private void spread(Envelope.Builder news) {
-		this.spread.sendUp(news.clone());
-		this.spread.sendDown(news);
+	private void distribute(Envelope.Builder notice) {
+		this.distributor.sendUp(notice.clone());
+		this.distributor.sendDown(notice);
 	}
 
-	private void onRest(UpstreamEntry upstream, long ms) {
-		if (this.absences.onBackoff(upstream.incarnation(), ms, this.loop.nowMs())) {
+	private void onBackoff(UpstreamEntry upstream, long ms) {
+		if (this.unavailability.onBackoff(upstream.incarnation(), ms, this.loop.nowMs())) {
 			this.log.event(EventCode.UPSTREAM_RESTS, "upstream", upstream.incarnation(), "ms", ms);
 		}
 	}
 
 	private void onLimit(String incarnation, OptionalDouble perSecond) {
-		if (perSecond.isPresent() || this.named.perSecond(incarnation).isPresent()) {
-			hear(incarnation, new StatedLimits.LimitStatement(perSecond, this.clock.get()), "reply");
+		if (perSecond.isPresent() || this.limits.perSecond(incarnation).isPresent()) {
+			mergeLimit(incarnation, new StatedLimits.LimitStatement(perSecond, this.clock.get()), "reply");
 		}
 	}
 
-	private void hear(String incarnation, StatedLimits.LimitStatement fresh, String by) {
-		OptionalDouble before = this.named.perSecond(incarnation);
-		if (!this.named.merge(incarnation, fresh.perSecond(), fresh.statedAt(), this.loop.nowMs())) {
+	private void mergeLimit(String incarnation, StatedLimits.LimitStatement statement, String source) {
+		OptionalDouble previous = this.limits.perSecond(incarnation);
+		if (!this.limits.merge(incarnation, statement.perSecond(), statement.statedAt(), this.loop.nowMs())) {
 			return;
 		}
-		this.log.event(EventCode.UPSTREAM_LIMIT_CHANGED, "upstream", incarnation, "by", by, "per_second",
-				text(fresh.perSecond()), "before", text(before));
-		this.onDuties.run();
-		spread(StatementMessageCodec.notice(Map.of(incarnation, fresh), Set.of()));
+		this.log.event(EventCode.UPSTREAM_LIMIT_CHANGED, "upstream", incarnation, "by", source, "per_second",
+				format(statement.perSecond()), "before", format(previous));
+		this.onRolesChanged.run();
+		distribute(StatementMessageCodec.encodeNotice(Map.of(incarnation, statement), Set.of()));
 	}
 
-	private void tellAll(String follower) {
-		if (knowsNews()) {
-			this.spread.sendTo(follower, composite());
+	private void sendAll(String subscriber) {
+		if (hasNotice()) {
+			this.distributor.sendTo(subscriber, createNotice());
 		}
 	}
 
-	private boolean knowsNews() {
-		return !this.named.isEmpty() || !this.absences.drainingIncarnations().isEmpty();
+	private boolean hasNotice() {
+		return !this.limits.isEmpty() || !this.unavailability.drainingIncarnations().isEmpty();
 	}
 
-	private Envelope.Builder composite() {
-		return StatementMessageCodec.notice(this.named.snapshot(), this.absences.drainingIncarnations());
+	private Envelope.Builder createNotice() {
+		return StatementMessageCodec.encodeNotice(this.limits.snapshot(), this.unavailability.drainingIncarnations());
 	}
 
 	/**
-	 * Take note that a request is sent. To be called for each.
-	 * @param upstream where
+	 * Count a request that is sent. Must be called for each request.
+	 * @param upstream the upstream
 	 */
 	public void onSend(UpstreamEntry upstream) {
-		if (perSecond(upstream).isPresent()) {
+		if (limitPerSecond(upstream).isPresent()) {
 			this.metrics.onSendToLimited();
 		}
 		if (acceptsInMs(upstream) > 0) {
@@ -201,108 +201,109 @@
 	}
 
 	/**
-	 * Return when an upstream takes requests from this VM, by its own word.
+	 * Return the time until an upstream accepts requests from this VM, as it has stated.
 	 * @param upstream the upstream
-	 * @return milliseconds; 0 if it takes them now, {@link UnavailabilityRegistry#NEVER}
-	 * if it leaves
+	 * @return milliseconds; 0 if it accepts them now,
+	 * {@link UnavailabilityRegistry#NEVER} if it is draining
 	 */
 	public long acceptsInMs(UpstreamEntry upstream) {
-		return this.absences.isEmpty() ? 0 : this.absences.acceptsInMs(upstream.incarnation(), this.loop.nowMs());
+		return this.unavailability.isEmpty() ? 0
+				: this.unavailability.acceptsInMs(upstream.incarnation(), this.loop.nowMs());
 	}
 
 	/**
-	 * Return an upstream's limit.
+	 * Return the limit that an upstream has stated.
 	 * @param upstream the upstream
-	 * @return requests a second from all VMs together; empty if it has named none
+	 * @return requests a second from all VMs together; empty if it has stated none
 	 */
-	public OptionalDouble perSecond(UpstreamEntry upstream) {
-		return this.named.isEmpty() ? OptionalDouble.empty() : this.named.perSecond(upstream.incarnation());
+	public OptionalDouble limitPerSecond(UpstreamEntry upstream) {
+		return this.limits.isEmpty() ? OptionalDouble.empty() : this.limits.perSecond(upstream.incarnation());
 	}
 
-	OptionalDouble perSecond(String incarnation) {
-		return this.named.perSecond(incarnation);
+	OptionalDouble limitPerSecond(String incarnation) {
+		return this.limits.perSecond(incarnation);
 	}
 
-	// What is known of an upstream, for a message.
-	UpstreamLimit encoded(String incarnation) {
-		return StatementMessageCodec.encode(incarnation, this.named.latest(incarnation));
+	// Returns the latest limit of an upstream, encoded for a message.
+	UpstreamLimit encodeLimit(String incarnation) {
+		return StatementMessageCodec.encode(incarnation, this.limits.latest(incarnation));
 	}
 
-	// What another VM knows of an upstream.
-	void learn(String from, UpstreamLimit limit) {
-		hear(limit.getIncarnation(), StatementMessageCodec.decode(limit), from);
+	// Merges a limit that another VM has sent.
+	void mergeRemoteLimit(String from, UpstreamLimit limit) {
+		mergeLimit(limit.getIncarnation(), StatementMessageCodec.decode(limit), from);
 	}
 
 	/**
-	 * Return an upstream's limit as a log line shows it.
+	 * Return the limit of an upstream as text for a log line.
 	 * @param upstream the upstream
-	 * @return the requests a second, or none
+	 * @return the requests a second, or {@code none}
 	 */
 	public String limitText(UpstreamEntry upstream) {
-		return text(perSecond(upstream));
+		return format(limitPerSecond(upstream));
 	}
 
-	private static String text(OptionalDouble perSecond) {
+	private static String format(OptionalDouble perSecond) {
 		return perSecond.isPresent() ? String.valueOf(perSecond.getAsDouble()) : "none";
 	}
 
 	/**
-	 * Return how many upstreams have a limit, as this VM knows.
-	 * @return the count
+	 * Return the number of upstreams with a stated limit.
+	 * @return the count, as far as known to this VM
 	 */
-	public long limited() {
-		return this.named.count();
+	public long limitedCount() {
+		return this.limits.count();
 	}
 
 	/**
-	 * Return how many upstreams have said that they leave, as this VM knows.
-	 * @return the count, with some that are gone
+	 * Return the number of upstreams that have stated that they are draining.
+	 * @return the count, as far as known to this VM; may include removed upstreams
 	 */
-	public long leaving() {
-		return this.absences.drainingIncarnations().size();
+	public long drainingCount() {
+		return this.unavailability.drainingIncarnations().size();
 	}
 
 	/**
-	 * Return how many upstreams want no requests from this VM for a time.
+	 * Return the number of upstreams that have asked this VM to back off.
 	 * @return the count
 	 */
-	public long resting() {
-		return this.absences.backoffCount(this.loop.nowMs());
+	public long backoffCount() {
+		return this.unavailability.backoffCount(this.loop.nowMs());
 	}
 
 	/**
-	 * Tell a new source what the former one was told, and drop what is of no use any
-	 * more. To be called now and then.
+	 * Send the statements to a new source, and drop those of removed upstreams. Must be
+	 * called periodically.
 	 */
-	public void tick() {
-		if (this.unreadable.isEmpty() && this.absences.isEmpty() && this.named.isEmpty()) {
+	public void refresh() {
+		if (this.malformed.isEmpty() && this.unavailability.isEmpty() && this.limits.isEmpty()) {
 			return;
 		}
-		Set<String> listed = this.directory.incarnations();
-		this.unreadable.keySet().retainAll(listed);
-		this.absences.expire(listed::contains, this.loop.nowMs());
-		boolean limited = !this.named.isEmpty();
-		this.named.expire(listed::contains, this.loop.nowMs());
-		if (knowsNews() && this.spread.takeReceiverChange()) {
-			this.spread.sendUp(composite());
+		Set<String> incarnations = this.directory.incarnations();
+		this.malformed.keySet().retainAll(incarnations);
+		this.unavailability.expire(incarnations::contains, this.loop.nowMs());
+		boolean hadLimits = !this.limits.isEmpty();
+		this.limits.expire(incarnations::contains, this.loop.nowMs());
+		if (hasNotice() && this.distributor.takeReceiverChange()) {
+			this.distributor.sendUp(createNotice());
 		}
-		if (limited && this.named.isEmpty()) {
-			this.onDuties.run();
+		if (hadLimits && this.limits.isEmpty()) {
+			this.onRolesChanged.run();
 		}
 	}
 
 	@Override
 	public void onMessage(String from, Envelope message) {
 		if (message.hasStatementNotice()) {
-			this.spread.addReporter(from);
-			message.getStatementNotice().getLimitsList().forEach((limit) -> learn(from, limit));
-			message.getStatementNotice().getLeavingList().forEach((incarnation) -> onLeaving(incarnation, from));
+			this.distributor.addReporter(from);
+			message.getStatementNotice().getLimitsList().forEach((limit) -> mergeRemoteLimit(from, limit));
+			message.getStatementNotice().getLeavingList().forEach((incarnation) -> onDraining(incarnation, from));
 		}
 	}
 
 	@Override
 	public void onLost(String vm) {
-		this.spread.onLost(vm);
+		this.distributor.onLost(vm);
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/statement/package-info.java
+++ b/node/src/main/java/org/tallycart/node/statement/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Takes what upstreams say of themselves in their replies: the limits that they name,
- * that they leave, and that they need rest.
+ * Statements that upstreams make about themselves in their replies: a rate limit, that
+ * they are draining, or a backoff.
  */
 @NullMarked
 package org.tallycart.node.statement;
