--- a/node/src/main/java/org/tallycart/node/Node.java
+++ b/node/src/main/java/org/tallycart/node/Node.java
@@ -244,19 +244,20 @@
 	}
 
 	private void begin(Listeners listeners) {
-		this.metrics.gauge("config.version", () -> this.config.current().map(ServingConfig::version).orElse(0L));
-		this.metrics.gauge("vms.live", this.mesh::liveVmCount);
-		this.metrics.gauge("pieces.outstanding", this.pieces::outstanding);
-		this.metrics.gauge("store.missed", () -> this.store.isProbeFailing() ? 1 : 0);
-		this.metrics.gauge("upstreams", () -> this.directory.ids().size());
-		this.metrics.gauge("evacuated_domains", () -> this.directory.evacuatedDomains().size());
-		this.metrics.gauge("store.era", this.store::era);
-		this.metrics.gauge("store.kept_against_copy", this.store::overrideCount);
-		this.metrics.gauge("upstreams.limited", this.statements::limitedCount);
-		this.metrics.gauge("upstreams.leaving", this.statements::drainingCount);
-		this.metrics.gauge("upstreams.resting", this.statements::backoffCount);
-		this.metrics.gauge("quarantine.requests", () -> this.quarantine.all().size());
-		this.metrics.gauge("store.following", () -> this.store.readsStore() ? 1 : 0);
+		this.metrics.registerGauge("config.version",
+				() -> this.config.current().map(ServingConfig::version).orElse(0L));
+		this.metrics.registerGauge("vms.live", this.mesh::liveVmCount);
+		this.metrics.registerGauge("pieces.outstanding", this.pieces::outstanding);
+		this.metrics.registerGauge("store.missed", () -> this.store.isProbeFailing() ? 1 : 0);
+		this.metrics.registerGauge("upstreams", () -> this.directory.ids().size());
+		this.metrics.registerGauge("evacuated_domains", () -> this.directory.evacuatedDomains().size());
+		this.metrics.registerGauge("store.era", this.store::era);
+		this.metrics.registerGauge("store.kept_against_copy", this.store::overrideCount);
+		this.metrics.registerGauge("upstreams.limited", this.statements::limitedCount);
+		this.metrics.registerGauge("upstreams.leaving", this.statements::drainingCount);
+		this.metrics.registerGauge("upstreams.resting", this.statements::backoffCount);
+		this.metrics.registerGauge("quarantine.requests", () -> this.quarantine.all().size());
+		this.metrics.registerGauge("store.following", () -> this.store.readsStore() ? 1 : 0);
 		this.drainAction = () -> beginDrain(listeners.callers());
 		this.log.event(EventCode.PROCESS_STARTED, "vm", this.settings.vm(), "domain", this.settings.failureDomain(),
 				"callers", new Address(this.settings.ip(), callersPort()), "readiness",
@@ -264,7 +265,7 @@
 				new Address(this.settings.ip(), metricsPort()), "store", this.settings.store());
 		wantDuties();
 		this.mesh.start();
-		this.store.onRollback(this.crashNews::publishAgain);
+		this.store.onRollback(this.crashNews::republish);
 		this.store.start(this.mesh, listeners.peers());
 		this.pieces.start(this.mesh);
 		this.crashSpread.start(this.mesh);
@@ -276,7 +277,7 @@
 	private void housekeeping() {
 		this.directory.expireVanished(this.loop.nowMs());
 		this.cold.expire(this.loop.nowMs());
-		this.crashNews.tick();
+		this.crashNews.refresh();
 		this.statements.refresh();
 		this.permits.expire();
 		this.http.closeStale();
--- a/node/src/main/java/org/tallycart/node/crash/CrashMessageCodec.java
+++ b/node/src/main/java/org/tallycart/node/crash/CrashMessageCodec.java
@@ -15,10 +15,10 @@
 import org.tallycart.wire.message.QuarantinedRequest;
 
 /**
- * Translates news of crashes to and from the messages between VMs. Times become
- * durations, since VMs share no clock.
+ * Converts crash reports and quarantine notices to and from messages between VMs. Times
+ * are sent as durations, since VMs share no clock.
  * <p>
- * Thread-safe: holds no state.
+ * Thread-safe: stateless.
  */
 final class CrashMessageCodec {
 
@@ -30,7 +30,7 @@
 		return Envelope.newBuilder()
 			.setCrashReport(org.tallycart.wire.message.CrashReport.newBuilder()
 				.setIncarnation(report.incarnation())
-				.setEndedAgoMs(ago(report.endedMs(), nowMs))
+				.setEndedAgoMs(elapsedMs(report.endedMs(), nowMs))
 				.addAllSuspects(suspects));
 	}
 
@@ -38,11 +38,11 @@
 		return CrashSuspect.newBuilder()
 			.setFingerprint(suspect.fingerprint().value())
 			.setRequestId(suspect.requestId())
-			.setSentAgoMs(ago(suspect.sentMs(), nowMs))
+			.setSentAgoMs(elapsedMs(suspect.sentMs(), nowMs))
 			.build();
 	}
 
-	private static int ago(long thenMs, long nowMs) {
+	private static int elapsedMs(long thenMs, long nowMs) {
 		return (int) Math.max(nowMs - thenMs, 0);
 	}
 
@@ -55,19 +55,21 @@
 					.toList());
 	}
 
-	static Envelope.Builder question(Fingerprint fingerprint, long sinceMs, long nowMs) {
+	static Envelope.Builder encodeQuery(Fingerprint fingerprint, long sinceMs, long nowMs) {
 		return Envelope.newBuilder()
-			.setCrashQuestion(
-					CrashQuestion.newBuilder().setFingerprint(fingerprint.value()).setSinceAgoMs(ago(sinceMs, nowMs)));
+			.setCrashQuestion(CrashQuestion.newBuilder()
+				.setFingerprint(fingerprint.value())
+				.setSinceAgoMs(elapsedMs(sinceMs, nowMs)));
 	}
 
-	static Envelope.Builder cleared(Fingerprint fingerprint) {
+	static Envelope.Builder encodeCleared(Fingerprint fingerprint) {
 		return Envelope.newBuilder().setCrashCleared(CrashCleared.newBuilder().addFingerprints(fingerprint.value()));
 	}
 
-	static Envelope.Builder notice(Map<Fingerprint, Long> untilMs, Collection<Fingerprint> which, long nowMs) {
+	static Envelope.Builder encodeNotice(Map<Fingerprint, Long> untilMs, Collection<Fingerprint> fingerprints,
+			long nowMs) {
 		QuarantineNotice.Builder notice = QuarantineNotice.newBuilder();
-		which.forEach((fingerprint) -> notice.addRequests(QuarantinedRequest.newBuilder()
+		fingerprints.forEach((fingerprint) -> notice.addRequests(QuarantinedRequest.newBuilder()
 			.setFingerprint(fingerprint.value())
 			.setRemainingMs((int) Math.max(untilMs.getOrDefault(fingerprint, nowMs) - nowMs, 0))));
 		return Envelope.newBuilder().setQuarantineNotice(notice);
--- a/node/src/main/java/org/tallycart/node/crash/CrashReportCoordinator.java
+++ b/node/src/main/java/org/tallycart/node/crash/CrashReportCoordinator.java
@@ -23,29 +23,30 @@
 import org.tallycart.wire.message.QuarantinedRequest;
 
 /**
- * Gathers what all VMs saw of crashes, and spreads which requests are to be kept away
- * from upstreams. Reports go to the VM that reads the store, see
- * {@link NoticeDistributor}; what it finds goes to all at once, and into the store for
- * VMs that start later. Before a request is kept away all VMs are asked whether they
- * answered it meanwhile. A request costs no call of the store, and a calm day no message.
+ * Collects the crash reports of all VMs, and distributes which requests are quarantined.
+ * Reports go to the VM that reads the store, see {@link NoticeDistributor}; requests that
+ * it confirms as crashing are sent to all VMs at once, and written to the store for VMs
+ * that start later. Before a request is quarantined, all VMs are asked whether it was
+ * served meanwhile. Requests cause no calls of the store, and no messages unless an
+ * upstream crashes.
  * <p>
- * Where that VM is lost, reports are told again to whoever is the source then. A request
- * may be found twice, which changes nothing. Not thread-safe: belongs to the event loop.
+ * If the collecting VM fails, reports are sent again to the next source. A request may be
+ * confirmed twice, which has no effect. Not thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
 public final class CrashReportCoordinator implements PeerMessageHandler {
 
-	/** When to write a record is tried again, in milliseconds. */
+	/** Delay before a failed write of a record is retried, in milliseconds. */
 	private static final long PUBLISH_RETRY_MS = 1_000;
 
 	private final RecentCrashReports reports = new RecentCrashReports();
 
-	private final CrashingRequestDetector ledger = new CrashingRequestDetector();
+	private final CrashingRequestDetector detector = new CrashingRequestDetector();
 
-	private final ServedRequests served = new ServedRequests();
+	private final ServedRequests servedRequests = new ServedRequests();
 
-	private final Map<Fingerprint, Long> askedMs = new HashMap<>();
+	private final Map<Fingerprint, Long> queriedMs = new HashMap<>();
 
 	private final Quarantine quarantine;
 
@@ -55,131 +56,136 @@
 
 	private final QuarantineRecords records;
 
-	private final NoticeDistributor spread;
+	private final NoticeDistributor distributor;
 
 	/**
-	 * Create the news of a process.
-	 * @param quarantine takes what is found
+	 * Create a coordinator.
+	 * @param quarantine the quarantine of this process
 	 * @param loop the event loop
-	 * @param log where changes are written
-	 * @param records the store's records of it
-	 * @param spread the way to the other VMs
+	 * @param log the log for changes
+	 * @param records the quarantine records in the store
+	 * @param distributor distributes reports and notices to the other VMs
 	 */
 	public CrashReportCoordinator(Quarantine quarantine, EventLoop loop, NodeLog log, QuarantineRecords records,
-			NoticeDistributor spread) {
+			NoticeDistributor distributor) {
 		this.quarantine = quarantine;
 		this.loop = loop;
 		this.log = log;
 		this.records = records;
-		this.spread = spread;
-		spread.onSubscriber(this::tellAll);
+		this.distributor = distributor;
+		distributor.onSubscriber(this::sendAll);
 	}
 
 	/**
-	 * Take a report.
-	 * @param report what this VM, or one that looks to it, saw of an upstream's end
+	 * Process a report.
+	 * @param report the crash of an upstream, seen by this VM or by one that reports to
+	 * it
 	 */
 	public void onCrash(CrashReport report) {
-		this.reports.add(report, this.loop.nowMs()).ifPresent(this::passUp);
+		this.reports.add(report, this.loop.nowMs()).ifPresent(this::forward);
 	}
 
-	private void passUp(CrashReport report) {
+	private void forward(CrashReport report) {
 		long now = this.loop.nowMs();
-		if (this.spread.collectsReports()) {
-			this.ledger.onReport(report, now)
-				.forEach((suspect) -> ask(suspect, this.ledger.firstCrashMs(suspect, now)));
-			this.loop.schedule(CrashingRequestDetector.CONFIRMATION_DELAY_MS, this::takeFound);
+		if (this.distributor.collectsReports()) {
+			this.detector.onReport(report, now)
+				.forEach((suspect) -> queryServed(suspect, this.detector.firstCrashMs(suspect, now)));
+			this.loop.schedule(CrashingRequestDetector.CONFIRMATION_DELAY_MS, this::quarantineConfirmed);
 		}
-		this.spread.sendUp(CrashMessageCodec.encode(report, now));
+		this.distributor.sendUp(CrashMessageCodec.encode(report, now));
 	}
 
-	private void ask(Fingerprint suspect, long sinceMs) {
+	private void queryServed(Fingerprint suspect, long sinceMs) {
 		long now = this.loop.nowMs();
-		Long before = this.askedMs.put(suspect, now);
-		this.askedMs.values().removeIf((at) -> now - at > CrashingRequestDetector.CONFIRMATION_DELAY_MS);
-		if (this.served.servedSince(suspect, sinceMs)) {
-			clear(suspect);
+		Long lastQuery = this.queriedMs.put(suspect, now);
+		this.queriedMs.values().removeIf((at) -> now - at > CrashingRequestDetector.CONFIRMATION_DELAY_MS);
+		if (this.servedRequests.servedSince(suspect, sinceMs)) {
+			clearSuspect(suspect);
 		}
-		else if (before == null || now - before > CrashingRequestDetector.CONFIRMATION_DELAY_MS) {
-			this.spread.sendDown(CrashMessageCodec.question(suspect, sinceMs, now));
+		else if (lastQuery == null || now - lastQuery > CrashingRequestDetector.CONFIRMATION_DELAY_MS) {
+			this.distributor.sendDown(CrashMessageCodec.encodeQuery(suspect, sinceMs, now));
 		}
 	}
 
-	private void takeFound() {
+	private void quarantineConfirmed() {
 		long now = this.loop.nowMs();
-		for (Fingerprint found : this.ledger.takeConfirmed(now)) {
-			this.log.event(EventCode.CRASHING_REQUEST_FOUND, "fingerprint", found.shortText(), "ends",
-					this.ledger.crashCount(found));
-			publish(found, Clocks.SYSTEM.wallMs() + Quarantine.DURATION_MS);
-			take("reports", List.of(found), now + Quarantine.DURATION_MS);
+		for (Fingerprint fingerprint : this.detector.takeConfirmed(now)) {
+			this.log.event(EventCode.CRASHING_REQUEST_FOUND, "fingerprint", fingerprint.shortText(), "ends",
+					this.detector.crashCount(fingerprint));
+			publish(fingerprint, Clocks.SYSTEM.wallMs() + Quarantine.DURATION_MS);
+			addToQuarantine("reports", List.of(fingerprint), now + Quarantine.DURATION_MS);
 		}
 	}
 
-	private void publish(Fingerprint found, long untilWallMs) {
-		this.records.publish(found, untilWallMs, (done) -> {
-			boolean wanted = this.quarantine.remainingMs(found, this.loop.nowMs()) > 0;
-			if (!done && wanted) {
-				this.loop.schedule(PUBLISH_RETRY_MS, () -> publish(found, untilWallMs));
+	private void publish(Fingerprint fingerprint, long untilWallMs) {
+		this.records.publish(fingerprint, untilWallMs, (done) -> {
+			boolean active = this.quarantine.remainingMs(fingerprint, this.loop.nowMs()) > 0;
+			if (!done && active) {
+				this.loop.schedule(PUBLISH_RETRY_MS, () -> publish(fingerprint, untilWallMs));
 			}
 		});
 	}
 
-	/** Write all findings again, since the store may have lost them. */
-	public void publishAgain() {
-		if (this.spread.collectsReports()) {
+	/** Write all quarantine records again, since the store may have lost them. */
+	public void republish() {
+		if (this.distributor.collectsReports()) {
 			long now = this.loop.nowMs();
-			this.quarantine.all().forEach((found, untilMs) -> publish(found, Clocks.SYSTEM.wallMs() + untilMs - now));
+			this.quarantine.all()
+				.forEach((fingerprint, untilMs) -> publish(fingerprint, Clocks.SYSTEM.wallMs() + untilMs - now));
 		}
 	}
 
-	private void take(String by, List<Fingerprint> found, long untilMs) {
-		List<Fingerprint> fresh = new ArrayList<>(found);
-		fresh.removeIf((fingerprint) -> !this.quarantine.add(fingerprint, untilMs));
-		if (!fresh.isEmpty()) {
-			this.log.event(EventCode.QUARANTINE_CHANGED, "by", by, "requests",
-					fresh.stream().map(Fingerprint::shortText).toList());
-			this.spread.sendDown(CrashMessageCodec.notice(this.quarantine.all(), fresh, this.loop.nowMs()));
+	private void addToQuarantine(String source, List<Fingerprint> fingerprints, long untilMs) {
+		List<Fingerprint> added = new ArrayList<>(fingerprints);
+		added.removeIf((fingerprint) -> !this.quarantine.add(fingerprint, untilMs));
+		if (!added.isEmpty()) {
+			this.log.event(EventCode.QUARANTINE_CHANGED, "by", source, "requests",
+					added.stream().map(Fingerprint::shortText).toList());
+			this.distributor.sendDown(CrashMessageCodec.encodeNotice(this.quarantine.all(), added, this.loop.nowMs()));
 		}
 	}
 
-	private void tellAll(String follower) {
+	private void sendAll(String subscriber) {
 		Map<Fingerprint, Long> all = this.quarantine.all();
 		if (!all.isEmpty()) {
-			Envelope.Builder notice = CrashMessageCodec.notice(all, all.keySet(), this.loop.nowMs());
-			this.spread.sendTo(follower, notice);
+			Envelope.Builder notice = CrashMessageCodec.encodeNotice(all, all.keySet(), this.loop.nowMs());
+			this.distributor.sendTo(subscriber, notice);
 		}
 	}
 
 	/**
-	 * Take note that a request was answered whole. To be called for each.
-	 * @param fingerprint the request
+	 * Record that a request was served completely. Must be called for each.
+	 * @param fingerprint the fingerprint of the request
 	 */
 	public void onServed(Fingerprint fingerprint) {
-		this.served.add(fingerprint, this.loop.nowMs());
-		clear(fingerprint);
+		this.servedRequests.add(fingerprint, this.loop.nowMs());
+		clearSuspect(fingerprint);
 	}
 
-	// Passed on once by each VM that was asked or has told of it.
-	private void clear(Fingerprint fingerprint) {
-		boolean told = this.reports.removeSuspect(fingerprint);
-		boolean asked = this.askedMs.remove(fingerprint) != null;
-		if (!told && !asked) {
+	// Forwarded once by each VM that was queried or has reported the request.
+	private void clearSuspect(Fingerprint fingerprint) {
+		boolean reported = this.reports.removeSuspect(fingerprint);
+		boolean queried = this.queriedMs.remove(fingerprint) != null;
+		if (!reported && !queried) {
 			return;
 		}
-		if (this.spread.collectsReports()) {
-			this.ledger.onCleared(fingerprint, this.loop.nowMs());
+		if (this.distributor.collectsReports()) {
+			this.detector.onCleared(fingerprint, this.loop.nowMs());
 		}
-		this.spread.sendUp(CrashMessageCodec.cleared(fingerprint));
+		this.distributor.sendUp(CrashMessageCodec.encodeCleared(fingerprint));
 	}
 
-	/** Tell a new source what the former one was told. To be called now and then. */
-	public void tick() {
-		if (this.spread.takeReceiverChange()) {
-			this.reports.all().forEach(this::passUp);
+	/**
+	 * Send reports to a new source, and drop expired quarantine entries. Must be called
+	 * periodically.
+	 */
+	public void refresh() {
+		if (this.distributor.takeReceiverChange()) {
+			this.reports.all().forEach(this::forward);
 		}
-		List<Fingerprint> over = this.quarantine.expire(this.loop.nowMs());
-		if (this.spread.collectsReports()) {
-			over.forEach(this.records::remove);
+		List<Fingerprint> expired = this.quarantine.expire(this.loop.nowMs());
+		if (this.distributor.collectsReports()) {
+			expired.forEach(this.records::remove);
 		}
 	}
 
@@ -188,8 +194,8 @@
 		switch (message.getBodyCase()) {
 			case CRASH_REPORT -> onReport(from, CrashMessageCodec.decode(message.getCrashReport(), this.loop.nowMs()));
 			case CRASH_CLEARED ->
-				message.getCrashCleared().getFingerprintsList().forEach((text) -> clear(new Fingerprint(text)));
-			case CRASH_QUESTION -> onQuestion(message.getCrashQuestion());
+				message.getCrashCleared().getFingerprintsList().forEach((text) -> clearSuspect(new Fingerprint(text)));
+			case CRASH_QUESTION -> onQuery(message.getCrashQuestion());
 			case QUARANTINE_NOTICE ->
 				message.getQuarantineNotice().getRequestsList().forEach((request) -> onNotice(from, request));
 			default -> {
@@ -198,23 +204,23 @@
 		}
 	}
 
-	private void onQuestion(CrashQuestion question) {
-		ask(new Fingerprint(question.getFingerprint()), this.loop.nowMs() - question.getSinceAgoMs());
+	private void onQuery(CrashQuestion query) {
+		queryServed(new Fingerprint(query.getFingerprint()), this.loop.nowMs() - query.getSinceAgoMs());
 	}
 
 	private void onReport(String from, CrashReport report) {
-		this.spread.addReporter(from);
+		this.distributor.addReporter(from);
 		onCrash(report);
 	}
 
 	private void onNotice(String from, QuarantinedRequest request) {
-		take(from, List.of(new Fingerprint(request.getFingerprint())),
+		addToQuarantine(from, List.of(new Fingerprint(request.getFingerprint())),
 				this.loop.nowMs() + Math.min(request.getRemainingMs(), Quarantine.DURATION_MS));
 	}
 
 	@Override
 	public void onLost(String vm) {
-		this.spread.onLost(vm);
+		this.distributor.onLost(vm);
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/crash/InterruptedRequest.java
+++ b/node/src/main/java/org/tallycart/node/crash/InterruptedRequest.java
@@ -3,28 +3,26 @@
 import org.tallycart.core.crash.Suspect;
 
 /**
- * A request that was cut off at an upstream.
+ * A request whose connection to an upstream closed before the reply was complete.
  *
  * @param request the request
- * @param answeringMs how long the upstream had been answering it, in milliseconds;
- * negative if nothing of an answer had come
+ * @param answeringMs time since the reply began, in milliseconds; negative if no part of
+ * a reply had arrived
  * @since 0.1
  */
 public record InterruptedRequest(Suspect request, long answeringMs) {
 
-	/** Nothing of an answer had come. */
+	/** Value of {@code answeringMs} if no part of a reply had arrived. */
 	public static final long NOT_ANSWERED = -1;
 
 	/**
-	 * An upstream that a request crashes ends when it begins to run it: a request that
-	 * was answered for this long, in milliseconds, did not crash it. Crashes were seen up
-	 * to 0.1 s after the begin; slow upstreams take some times as long. Longer, and
-	 * requests that were only there would be suspects more often.
+	 * Time since the reply began from which a request is no suspect, in milliseconds: a
+	 * request that crashes an upstream does so when it starts to run.
 	 */
-	static final long BEGIN_MS = 300;
+	static final long SUSPECT_MS = 300;
 
-	boolean mayHaveCrashedIt() {
-		return this.answeringMs < BEGIN_MS;
+	boolean mayHaveCrashedUpstream() {
+		return this.answeringMs < SUSPECT_MS;
 	}
 
 	@Override
--- a/node/src/main/java/org/tallycart/node/crash/UpstreamCrashDetector.java
+++ b/node/src/main/java/org/tallycart/node/crash/UpstreamCrashDetector.java
@@ -17,24 +17,26 @@
 import org.tallycart.runtime.event.EventCode;
 
 /**
- * Finds out whether an upstream at which requests were cut off has ended, or only its
- * connections: one that has ended refuses a new one. Connections are also cut by networks
- * and by upstreams that break off single answers.
+ * Detects whether an upstream whose requests were interrupted has crashed, or has only
+ * lost its connections: a crashed upstream refuses a new connection. Connections are also
+ * interrupted by networks, and by upstreams that abort single replies.
  * <p>
- * Not thread-safe: belongs to the event loop.
+ * Not thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
 public final class UpstreamCrashDetector {
 
 	/**
-	 * How long cut requests of an upstream are collected before it is looked for, in
-	 * milliseconds: its connections end within some milliseconds of each other.
+	 * Time for which interrupted requests of an upstream are collected before it is
+	 * probed, in milliseconds; its connections close within a few milliseconds of each
+	 * other.
 	 */
-	private static final long COLLECT_MS = 30;
+	private static final long COLLECTION_MS = 30;
 
 	/**
-	 * An upstream that does not answer for this long has not refused, in milliseconds.
+	 * Connect timeout of a probe, in milliseconds. An upstream that does not answer
+	 * within it has not refused.
 	 */
 	private static final int CONNECT_TIMEOUT_MS = 300;
 
@@ -46,76 +48,77 @@
 
 	private final NodeMetrics metrics;
 
-	private final CrashReportCoordinator news;
+	private final CrashReportCoordinator coordinator;
 
-	private final Map<String, Cuts> collected = new HashMap<>();
+	private final Map<String, PendingProbe> pendingProbes = new HashMap<>();
 
 	/**
-	 * Create a watch.
-	 * @param http connects to upstreams
+	 * Create a detector.
+	 * @param http the client that connects to upstreams
 	 * @param loop the event loop
-	 * @param log where what is found is written
-	 * @param metrics what is counted
-	 * @param news hears of each upstream that has ended
+	 * @param log the log for results
+	 * @param metrics the metrics of this process
+	 * @param coordinator receives a report of each upstream that has crashed
 	 */
 	public UpstreamCrashDetector(HttpClient http, EventLoop loop, NodeLog log, NodeMetrics metrics,
-			CrashReportCoordinator news) {
+			CrashReportCoordinator coordinator) {
 		this.http = http;
 		this.loop = loop;
 		this.log = log;
 		this.metrics = metrics;
-		this.news = news;
+		this.coordinator = coordinator;
 	}
 
 	/**
-	 * Take note that a request was cut off.
-	 * @param upstream where
-	 * @param cut the request
+	 * Record that a request was interrupted.
+	 * @param upstream the upstream
+	 * @param request the request
 	 */
-	public void onInterrupted(UpstreamEntry upstream, InterruptedRequest cut) {
-		Cuts known = this.collected.get(upstream.incarnation());
-		if (known != null) {
-			known.requests.add(cut);
+	public void onInterrupted(UpstreamEntry upstream, InterruptedRequest request) {
+		PendingProbe pending = this.pendingProbes.get(upstream.incarnation());
+		if (pending != null) {
+			pending.requests.add(request);
 			return;
 		}
-		this.collected.put(upstream.incarnation(), new Cuts(this.loop.nowMs(), new ArrayList<>(List.of(cut))));
-		this.loop.schedule(COLLECT_MS, () -> this.http.probe(upstream.address(), CONNECT_TIMEOUT_MS,
-				(presence) -> onFound(upstream, presence)));
+		this.pendingProbes.put(upstream.incarnation(),
+				new PendingProbe(this.loop.nowMs(), new ArrayList<>(List.of(request))));
+		this.loop.schedule(COLLECTION_MS, () -> this.http.probe(upstream.address(), CONNECT_TIMEOUT_MS,
+				(presence) -> onProbed(upstream, presence)));
 	}
 
 	/**
-	 * Take note that a request was answered whole, so that it is no suspect any more. To
-	 * be called for each.
-	 * @param fingerprint the request
+	 * Record that a request was served completely, so that it is no longer a suspect.
+	 * Must be called for each.
+	 * @param fingerprint the fingerprint of the request
 	 */
 	public void onServed(Fingerprint fingerprint) {
-		this.news.onServed(fingerprint);
+		this.coordinator.onServed(fingerprint);
 	}
 
-	private void onFound(UpstreamEntry upstream, Presence presence) {
-		Cuts cuts = this.collected.remove(upstream.incarnation());
-		if (cuts == null) {
+	private void onProbed(UpstreamEntry upstream, Presence presence) {
+		PendingProbe probe = this.pendingProbes.remove(upstream.incarnation());
+		if (probe == null) {
 			return;
 		}
-		this.metrics.onUpstreamCut(presence == Presence.REFUSES);
+		this.metrics.onUpstreamInterrupted(presence == Presence.REFUSES);
 		this.log.event(EventCode.REQUESTS_CUT, "upstream", upstream.id(), "service", upstream.service(), "upstream_is",
-				presence, "requests", cuts.requests);
-		List<Suspect> suspects = cuts.requests.stream()
-			.filter(InterruptedRequest::mayHaveCrashedIt)
+				presence, "requests", probe.requests);
+		List<Suspect> suspects = probe.requests.stream()
+			.filter(InterruptedRequest::mayHaveCrashedUpstream)
 			.map(InterruptedRequest::request)
 			.toList();
 		if (presence == Presence.REFUSES && !suspects.isEmpty()) {
-			this.news.onCrash(CrashReport.of(upstream.incarnation(), cuts.sinceMs, suspects));
+			this.coordinator.onCrash(CrashReport.of(upstream.incarnation(), probe.sinceMs, suspects));
 		}
 	}
 
 	/**
-	 * What was cut off at one upstream.
+	 * A probe of one upstream that is due, or has not completed.
 	 *
-	 * @param sinceMs when the first was, on the steady clock
-	 * @param requests all of it
+	 * @param sinceMs when the first request was interrupted, on the monotonic clock
+	 * @param requests the interrupted requests
 	 */
-	private record Cuts(long sinceMs, List<InterruptedRequest> requests) {
+	private record PendingProbe(long sinceMs, List<InterruptedRequest> requests) {
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/crash/package-info.java
+++ b/node/src/main/java/org/tallycart/node/crash/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Finds out which upstreams end while they run this VM's requests, and which requests may
- * have ended them.
+ * Detection of upstreams that crash while they run requests, and of the requests that may
+ * have crashed them.
  */
 @NullMarked
 package org.tallycart.node.crash;
--- a/node/src/main/java/org/tallycart/node/log/NodeLog.java
+++ b/node/src/main/java/org/tallycart/node/log/NodeLog.java
@@ -7,11 +7,11 @@
 import org.tallycart.runtime.event.EventCode;
 
 /**
- * Writes one line for each decision and each change of what the process believes, as
- * {@code name=value} pairs.
+ * Writes one line of {@code name=value} pairs for each decision and each change of state
+ * of the process.
  * <p>
- * Invariant: no more than a fixed number of lines is written in a second; what is left
- * out is counted in a line of its own. Not thread-safe: belongs to the event loop.
+ * Invariant: the number of lines written in a second is limited; the number of suppressed
+ * lines is logged. Not thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
@@ -21,45 +21,45 @@
 
 	private static final Logger LOGGER = LoggerFactory.getLogger(LOGGER_NAME);
 
-	/** Lines in a second, at most: ten lines a request at three times the usual load. */
-	private static final int MAX_LINES = 400;
+	/** Maximum number of lines in a second. */
+	private static final int MAX_LINES_PER_SECOND = 400;
 
 	private static final long SECOND_MS = 1_000;
 
 	private final LongSupplier nowMs;
 
-	private long secondBeganMs;
+	private long secondStartMs;
 
 	private int lines;
 
-	private int leftOut;
+	private int suppressed;
 
 	/**
 	 * Create a log.
-	 * @param nowMs the steady clock
+	 * @param nowMs the monotonic clock, in milliseconds
 	 */
 	public NodeLog(LongSupplier nowMs) {
 		this.nowMs = nowMs;
-		this.secondBeganMs = nowMs.getAsLong();
+		this.secondStartMs = nowMs.getAsLong();
 	}
 
 	/**
 	 * Write a line that belongs to no request.
-	 * @param code what kind
-	 * @param pairs names and values in turn
+	 * @param code the event
+	 * @param pairs names and values, alternating
 	 */
 	public void event(EventCode code, Object... pairs) {
 		request(code, "", pairs);
 	}
 
 	/**
-	 * Write a line.
-	 * @param code what kind
-	 * @param requestId the request
-	 * @param pairs names and values in turn
+	 * Write a line that belongs to a request.
+	 * @param code the event
+	 * @param requestId the id of the request; empty if there is none
+	 * @param pairs names and values, alternating
 	 */
 	public void request(EventCode code, String requestId, Object... pairs) {
-		if (!LOGGER.isEnabledForLevel(code.level()) || !admit()) {
+		if (!LOGGER.isEnabledForLevel(code.level()) || !tryAcquire()) {
 			return;
 		}
 		StringBuilder line = new StringBuilder(160);
@@ -73,19 +73,19 @@
 		LOGGER.atLevel(code.level()).log(line.toString());
 	}
 
-	private boolean admit() {
+	private boolean tryAcquire() {
 		long now = this.nowMs.getAsLong();
-		if (now - this.secondBeganMs >= SECOND_MS) {
-			int missing = this.leftOut;
-			this.secondBeganMs = now;
+		if (now - this.secondStartMs >= SECOND_MS) {
+			int suppressedBefore = this.suppressed;
+			this.secondStartMs = now;
 			this.lines = 0;
-			this.leftOut = 0;
-			if (missing > 0) {
-				event(EventCode.LINES_LEFT_OUT, "count", missing);
+			this.suppressed = 0;
+			if (suppressedBefore > 0) {
+				event(EventCode.LINES_LEFT_OUT, "count", suppressedBefore);
 			}
 		}
-		if (this.lines >= MAX_LINES) {
-			this.leftOut++;
+		if (this.lines >= MAX_LINES_PER_SECOND) {
+			this.suppressed++;
 			return false;
 		}
 		this.lines++;
--- a/node/src/main/java/org/tallycart/node/log/NodeLogging.java
+++ b/node/src/main/java/org/tallycart/node/log/NodeLogging.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up logging to standard output through a bounded queue, so that the event loop
- * never waits for a reader of the log.
+ * Configures logging to standard output through a bounded queue, so that a slow reader
+ * never blocks the event loop.
  * <p>
  * Thread-safe: called once, at start.
  *
@@ -22,16 +22,16 @@
 	private static final String PATTERN = "ts=%d{yyyy-MM-dd'T'HH:mm:ss.SSSX, UTC} level=%level %msg%n";
 
 	/**
-	 * Lines that may wait to be written; above it lines are dropped. About a megabyte.
+	 * Capacity of the queue, in lines; about a megabyte. Further lines are dropped.
 	 */
-	private static final int QUEUE_LINES = 4_096;
+	private static final int QUEUE_CAPACITY_LINES = 4_096;
 
 	private NodeLogging() {
 	}
 
 	/**
 	 * Configure logging.
-	 * @param level the least level that is logged, such as {@code INFO}
+	 * @param level the lowest level that is logged, such as {@code INFO}
 	 */
 	public static void configure(String level) {
 		LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
@@ -47,7 +47,7 @@
 		console.start();
 		AsyncAppender async = new AsyncAppender();
 		async.setContext(context);
-		async.setQueueSize(QUEUE_LINES);
+		async.setQueueSize(QUEUE_CAPACITY_LINES);
 		async.setDiscardingThreshold(0);
 		async.setNeverBlock(true);
 		async.addAppender(console);
@@ -59,8 +59,7 @@
 	}
 
 	/**
-	 * Write out all lines that wait, and stop logging: for the moment before the process
-	 * ends.
+	 * Write all queued lines and stop logging. To be called just before the process ends.
 	 */
 	public static void flush() {
 		((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
--- a/node/src/main/java/org/tallycart/node/metrics/MetricsHandler.java
+++ b/node/src/main/java/org/tallycart/node/metrics/MetricsHandler.java
@@ -16,22 +16,22 @@
 import org.tallycart.http.event.Responder;
 
 /**
- * Shows metrics as text, in the format that collectors of the ecosystem read.
+ * Serves metrics in the Prometheus text format.
  * <p>
- * Not thread-safe: belongs to the event loop.
+ * Not thread-safe: confined to the event loop.
  *
  * @since 0.1
  */
 public final class MetricsHandler implements RequestHandler {
 
-	/** Where metrics are shown. */
+	/** Path of the metrics. */
 	public static final String PATH = "/metrics";
 
 	private static final int OK = 200;
 
 	private static final int NOT_FOUND = 404;
 
-	/** A collector's request is short and comes every few seconds. */
+	/** Limits for the short, periodic requests of collectors. */
 	private static final RequestLimits LIMITS = new RequestLimits(8 * 1024, 0, 3_000, 60_000);
 
 	private final CollectorRegistry collectors = new CollectorRegistry();
@@ -39,8 +39,8 @@
 	private final NodeMetrics metrics;
 
 	/**
-	 * Create a page.
-	 * @param metrics what it shows
+	 * Create a handler.
+	 * @param metrics the metrics to serve
 	 */
 	public MetricsHandler(NodeMetrics metrics) {
 		this.metrics = metrics;
@@ -55,16 +55,16 @@
 		}
 		HttpResponse response = new BasicHttpResponse(OK);
 		response.addHeader("Content-Type", TextFormat.CONTENT_TYPE_004);
-		responder.send(response, text().getBytes(StandardCharsets.UTF_8));
+		responder.send(response, render().getBytes(StandardCharsets.UTF_8));
 	}
 
-	private String text() {
+	private String render() {
 		StringWriter text = new StringWriter();
 		try {
 			TextFormat.write004(text, this.collectors.metricFamilySamples());
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("a writer in memory failed", ex);
+			throw new UncheckedIOException("failed to render metrics to memory", ex);
 		}
 		return text.toString();
 	}
--- a/node/src/main/java/org/tallycart/node/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/tallycart/node/metrics/NodeMetrics.java
@@ -11,7 +11,7 @@
 import org.tallycart.platform.store.StoreCall;
 
 /**
- * What the serving process counts. Times are in milliseconds.
+ * Counters, histograms and gauges of the serving process. Times are in milliseconds.
  * <p>
  * Thread-safe.
  *
@@ -23,19 +23,19 @@
 
 	private final Histogram totalMs = this.registry.histogram("requests.total_ms");
 
-	private final Histogram stageMs = this.registry.histogram("requests.stage_work_ms");
+	private final Histogram stageWorkMs = this.registry.histogram("requests.stage_work_ms");
 
-	private final Histogram firstMs = this.registry.histogram("streams.first_event_ms");
+	private final Histogram firstEventMs = this.registry.histogram("streams.first_event_ms");
 
 	private final Histogram piecesPerCall = this.registry.histogram("pool_calls.pieces");
 
-	private final Histogram callMs = this.registry.histogram("pool_calls.took_ms");
+	private final Histogram poolCallMs = this.registry.histogram("pool_calls.took_ms");
 
 	/**
 	 * Count a request that has ended.
-	 * @param outcome how, such as {@code status_200}, {@code stream_complete} or
+	 * @param outcome the outcome, such as {@code status_200}, {@code stream_complete} or
 	 * {@code caller_gone}
-	 * @param ms how long it took
+	 * @param ms the time from its arrival
 	 */
 	public void onRequestEnded(String outcome, long ms) {
 		this.registry.counter("requests.ended." + outcome).inc();
@@ -43,116 +43,116 @@
 	}
 
 	/**
-	 * Record how long a request waited for its stage work.
+	 * Record the time that a request waited for its stage work.
 	 * @param ms the time
 	 */
 	public void onStageWorkDone(long ms) {
-		this.stageMs.update(ms);
+		this.stageWorkMs.update(ms);
 	}
 
 	/**
-	 * Record when a stream's first event was there.
+	 * Record the time to the first event of a stream.
 	 * @param ms the time from the request's arrival
 	 */
 	public void onFirstEvent(long ms) {
-		this.firstMs.update(ms);
+		this.firstEventMs.update(ms);
 	}
 
 	/**
-	 * Count a send to an upstream that did not lead to an answer.
-	 * @param kind how it ended
+	 * Count a send to an upstream that failed without a reply.
+	 * @param kind the kind of failure
 	 */
 	public void onSendFailed(String kind) {
 		this.registry.counter("sends.failed." + kind).inc();
 	}
 
-	/** Count a repeat that the budget did not allow. */
+	/** Count a retry that the retry budget denied. */
 	public void onRetryDenied() {
 		this.registry.counter("sends.repeats_denied").inc();
 	}
 
 	/**
 	 * Count a call of the platform's store.
-	 * @param kind its kind
+	 * @param kind the kind of call
 	 */
 	public void onStoreCall(StoreCall kind) {
 		this.registry.counter("store.calls." + kind.name().toLowerCase(Locale.ROOT)).inc();
 	}
 
 	/**
-	 * Count an entry of the list of upstreams that names none to use.
-	 * @param problem why
+	 * Count an invalid entry in the list of upstreams.
+	 * @param problem what is wrong with it
 	 */
-	public void onUnreadableEntry(EntryProblem problem) {
+	public void onInvalidEntry(EntryProblem problem) {
 		this.registry.counter("upstreams.unreadable." + problem.name().toLowerCase(Locale.ROOT)).inc();
 	}
 
 	/**
-	 * Count an upstream at which requests were cut off.
-	 * @param ended whether it has ended
+	 * Count an upstream whose requests were interrupted.
+	 * @param crashed whether it has crashed
 	 */
-	public void onUpstreamCut(boolean ended) {
-		this.registry.counter(ended ? "upstreams.crashed" : "upstreams.cut").inc();
+	public void onUpstreamInterrupted(boolean crashed) {
+		this.registry.counter(crashed ? "upstreams.crashed" : "upstreams.cut").inc();
 	}
 
-	/** Count a request that was kept away from upstreams, since it crashes them. */
+	/** Count a request that was rejected, since it is quarantined. */
 	public void onQuarantined() {
 		this.registry.counter("requests.quarantined").inc();
 	}
 
-	/** Count a request that is sent to an upstream that has named a limit. */
+	/** Count a request that is sent to an upstream with a stated limit. */
 	public void onSendToLimited() {
 		this.registry.counter("sends.to_limited").inc();
 	}
 
 	/**
-	 * Count an answer to the question whether a request may be sent to an upstream that
-	 * has named a limit.
-	 * @param granted whether it may
+	 * Count the result of a permit request for an upstream with a stated limit.
+	 * @param granted whether the permit was granted
 	 */
 	public void onPermit(boolean granted) {
 		this.registry.counter(granted ? "limits.granted" : "limits.denied").inc();
 	}
 
 	/**
-	 * Count a reply that says something of its upstream that cannot be read.
-	 * @param kind what it speaks of
+	 * Count a reply with a malformed statement of its upstream.
+	 * @param kind the kind of statement
 	 */
-	public void onUnreadableStatement(StatementKind kind) {
+	public void onMalformedStatement(StatementKind kind) {
 		this.registry.counter("upstreams.unreadable_" + kind.name().toLowerCase(Locale.ROOT)).inc();
 	}
 
 	/**
-	 * Count a request that is sent to an upstream that has said that it leaves, or rests.
+	 * Count a request that is sent to an upstream that is draining or has asked for a
+	 * backoff.
 	 */
-	public void onSendToAbsent() {
+	public void onSendToUnavailable() {
 		this.registry.counter("sends.to_absent").inc();
 	}
 
 	/**
 	 * Record a call of a stage pool.
-	 * @param pieces how many pieces it held
-	 * @param ms how long it took
+	 * @param pieces the number of pieces in the call
+	 * @param ms the time that it took
 	 */
 	public void onPoolCall(int pieces, long ms) {
 		this.piecesPerCall.update(pieces);
-		this.callMs.update(ms);
+		this.poolCallMs.update(ms);
 	}
 
 	/**
 	 * Count a connection that was refused before its request could be handled.
-	 * @param status the status it was refused with
+	 * @param status the HTTP status that was sent
 	 */
 	public void onConnectionRefused(int status) {
 		this.registry.counter("connections.refused.status_" + status).inc();
 	}
 
 	/**
-	 * Show a value that something else keeps.
-	 * @param name its name
-	 * @param value reads it
+	 * Register a gauge.
+	 * @param name the name of the gauge
+	 * @param value supplies its current value
 	 */
-	public void gauge(String name, LongSupplier value) {
+	public void registerGauge(String name, LongSupplier value) {
 		this.registry.register(name, (Gauge<Long>) value::getAsLong);
 	}
 
--- a/node/src/main/java/org/tallycart/node/metrics/package-info.java
+++ b/node/src/main/java/org/tallycart/node/metrics/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Counters and histograms of the serving process, and the address that shows them.
+ * Counters and histograms of the serving process, and the HTTP handler that exposes them.
  */
 @NullMarked
 package org.tallycart.node.metrics;
--- a/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
+++ b/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
@@ -125,7 +125,7 @@
 	// Logged once until the statement is well-formed again, not for each reply.
 	private boolean isWellFormed(UpstreamEntry upstream, StatementKind kind, ParsedField<?> field) {
 		if (field.isMalformed()) {
-			this.metrics.onUnreadableStatement(kind);
+			this.metrics.onMalformedStatement(kind);
 			if (this.malformed.computeIfAbsent(upstream.incarnation(), (key) -> EnumSet.noneOf(StatementKind.class))
 				.add(kind)) {
 				this.log.event(EventCode.UPSTREAM_STATEMENT_UNREADABLE, "upstream", upstream.id(), "statement", kind);
@@ -196,7 +196,7 @@
 			this.metrics.onSendToLimited();
 		}
 		if (acceptsInMs(upstream) > 0) {
-			this.metrics.onSendToAbsent();
+			this.metrics.onSendToUnavailable();
 		}
 	}
 
--- a/node/src/main/java/org/tallycart/node/store/UpstreamSink.java
+++ b/node/src/main/java/org/tallycart/node/store/UpstreamSink.java
@@ -102,7 +102,7 @@
 	// Logged only when the problem changes, not each time the entry is read.
 	private void reportInvalid(String name, @Nullable EntryProblem before, EntryProblem problem) {
 		if (before != problem) {
-			this.metrics.onUnreadableEntry(problem);
+			this.metrics.onInvalidEntry(problem);
 			this.log.event(EventCode.UPSTREAM_UNREADABLE, "upstream", name, "reason", problem);
 		}
 	}
