--- a/node/src/main/java/org/tallycart/node/Node.java
+++ b/node/src/main/java/org/tallycart/node/Node.java
@@ -184,8 +184,8 @@
 
 	// While no VM is known there may be any number, so no shared budget is used.
 	private int budgetSharingVms() {
-		int known = this.mesh.knownVmCount();
-		return (known > 0) ? known : Integer.MAX_VALUE;
+		int vmCount = this.mesh.knownVmCount();
+		return (vmCount > 0) ? vmCount : Integer.MAX_VALUE;
 	}
 
 	private double coldRequestsPerSecond(String service) {
--- a/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
+++ b/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
@@ -196,14 +196,14 @@
 	}
 
 	// Retries until the record is written.
-	private void publish(VmRecord own, Runnable onDone) {
-		this.records.publish(own, (done) -> {
+	private void publish(VmRecord record, Runnable onDone) {
+		this.records.publish(record, (done) -> {
 			if (done) {
 				this.recordWrittenMs = this.loop.nowMs();
 				onDone.run();
 			}
 			else {
-				this.loop.schedule(PUBLISH_RETRY_MS, () -> publish(own, onDone));
+				this.loop.schedule(PUBLISH_RETRY_MS, () -> publish(record, onDone));
 			}
 		});
 	}
--- a/node/src/test/java/org/tallycart/node/CrashingRequestTests.java
+++ b/node/src/test/java/org/tallycart/node/CrashingRequestTests.java
@@ -74,9 +74,9 @@
 		assertTrue(crashed >= CRASHES_BEFORE_QUARANTINE, crashed + " ended");
 		assertTrue(crashed <= CRASHES_BEFORE_QUARANTINE + SENDS_IN_FLIGHT, crashed + " ended");
 		for (Node node : this.nodes) {
-			String answer = request(node, CRASHING, "last", GENERATION);
-			assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
-			assertTrue(answer.contains("Retry-After"), answer);
+			String response = request(node, CRASHING, "last", GENERATION);
+			assertTrue(response.startsWith("HTTP/1.1 503"), response);
+			assertTrue(response.contains("Retry-After"), response);
 		}
 		assertEquals(crashed(), crashed);
 	}
@@ -95,8 +95,8 @@
 		}
 		assertTrue(crashed() <= CRASHES_BEFORE_QUARANTINE + SENDS_IN_FLIGHT, crashed() + " ended");
 		for (int i = 0; i < others.size(); i++) {
-			String answer = request(node(i), "/stream/beside" + i, "again" + i, GENERATION);
-			assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("0\r\n\r\n"), answer);
+			String response = request(node(i), "/stream/beside" + i, "again" + i, GENERATION);
+			assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("0\r\n\r\n"), response);
 		}
 	}
 
--- a/node/src/test/java/org/tallycart/node/NamedLimitTests.java
+++ b/node/src/test/java/org/tallycart/node/NamedLimitTests.java
@@ -101,11 +101,11 @@
 		String id = "r" + this.lastId.incrementAndGet();
 		// Sessions differ, so that requests are spread over all engines.
 		String sessionHeaders = headers.replace("bb:200", "b" + Integer.toHexString(round) + ":200");
-		String answer = request(currentNodes.get(round % currentNodes.size()), path, id, sessionHeaders);
-		if (answer.startsWith("HTTP/1.1 200")) {
+		String response = request(currentNodes.get(round % currentNodes.size()), path, id, sessionHeaders);
+		if (response.startsWith("HTTP/1.1 200")) {
 			this.served.incrementAndGet();
 		}
-		else if (answer.startsWith("HTTP/1.1 503") && answer.contains("Retry-After")) {
+		else if (response.startsWith("HTTP/1.1 503") && response.contains("Retry-After")) {
 			this.declined.incrementAndGet();
 		}
 	}
--- a/node/src/test/java/org/tallycart/node/store/RollbackOverridesTests.java
+++ b/node/src/test/java/org/tallycart/node/store/RollbackOverridesTests.java
@@ -74,9 +74,9 @@
 	@Test
 	void anObjectThatIsWrittenInTheNewEraIsNotOverridden() {
 		rollBack(Map.of("a", LATER), List.of(EARLIER));
-		StoredObject fresh = object("a", 6, "fresh");
-		this.overrides.onChanges(List.of(new ObjectChange(fresh, false)));
-		assertEquals(this.overrides.apply(List.of(fresh), 10), List.of(fresh));
+		StoredObject written = object("a", 6, "fresh");
+		this.overrides.onChanges(List.of(new ObjectChange(written, false)));
+		assertEquals(this.overrides.apply(List.of(written), 10), List.of(written));
 		assertEquals(this.overrides.count(), 0);
 	}
 
