--- a/core/src/main/java/org/tallycart/core/fleet/LeaderTable.java
+++ b/core/src/main/java/org/tallycart/core/fleet/LeaderTable.java
@@ -209,7 +209,7 @@
 	 * @param nowMs the current monotonic time, in milliseconds
 	 * @return the change of the VM's state
 	 */
-	public Change onAnswer(String name, long incarnation, boolean peerDraining, long nowMs) {
+	public Change onReply(String name, long incarnation, boolean peerDraining, long nowMs) {
 		if (!this.ranking.vms().contains(name)) {
 			return Change.NONE;
 		}
--- a/core/src/main/java/org/tallycart/core/fleet/StoreSourceChooser.java
+++ b/core/src/main/java/org/tallycart/core/fleet/StoreSourceChooser.java
@@ -179,7 +179,7 @@
 	 * @param storeAgeMs the age of these contents, in milliseconds
 	 * @param nowMs the current monotonic time, in milliseconds
 	 */
-	public void onAnswer(String name, boolean canRelay, long storeAgeMs, long nowMs) {
+	public void onReply(String name, boolean canRelay, long storeAgeMs, long nowMs) {
 		freshness(name).onReply(canRelay, storeAgeMs, MAX_READER_AGE_MS, nowMs);
 	}
 
--- a/core/src/main/java/org/tallycart/core/pool/PoolDispatcher.java
+++ b/core/src/main/java/org/tallycart/core/pool/PoolDispatcher.java
@@ -139,7 +139,7 @@
 
 	/**
 	 * Withdraw a piece. A call that contains it continues, and its result is returned as
-	 * unused by {@link #onAnswer}.
+	 * unused by {@link #onReply}.
 	 * @param id the piece
 	 */
 	public void withdraw(PieceId id) {
@@ -206,7 +206,7 @@
 	 * @param nowMs current time on the monotonic clock, in milliseconds
 	 * @return handles of the results whose pieces are no longer pending
 	 */
-	public List<String> onAnswer(long number, List<PieceOutcome> outcomes, long nowMs) {
+	public List<String> onReply(long number, List<PieceOutcome> outcomes, long nowMs) {
 		PoolCall call = end(number);
 		InvariantViolation.check(outcomes.size() == call.jobs().size(),
 				"call " + number + ": expected " + call.jobs().size() + " outcomes, got " + outcomes.size());
--- a/core/src/main/java/org/tallycart/core/routing/UpstreamTable.java
+++ b/core/src/main/java/org/tallycart/core/routing/UpstreamTable.java
@@ -102,7 +102,7 @@
 	 * @param upstreamId the id of the upstream
 	 * @return true if it was not marked before
 	 */
-	public synchronized boolean markLeaving(String upstreamId) {
+	public synchronized boolean markDraining(String upstreamId) {
 		return this.draining.add(upstreamId);
 	}
 
--- a/core/src/test/java/org/tallycart/core/fleet/LeaderTableTests.java
+++ b/core/src/test/java/org/tallycart/core/fleet/LeaderTableTests.java
@@ -60,7 +60,7 @@
 			.toList();
 		table.setWatchedRoles(roles);
 		table.dueHeartbeats(0);
-		records(4).forEach((record) -> table.onAnswer(record.vm(), 1, false, 10));
+		records(4).forEach((record) -> table.onReply(record.vm(), 1, false, 10));
 		assertEquals(roles.stream().map(table::leader).distinct().count(), 3);
 	}
 
@@ -228,10 +228,10 @@
 	void aRestartIsReported() {
 		LeaderTable table = new LeaderTable("vm-0");
 		table.updateRecords(records(3));
-		assertEquals(table.onAnswer("vm-1", 7, false, 0), LeaderTable.Change.FOUND);
-		assertEquals(table.onAnswer("vm-1", 7, false, 10), LeaderTable.Change.NONE);
-		assertEquals(table.onAnswer("vm-1", 8, false, 20), LeaderTable.Change.RESTARTED);
-		assertEquals(table.onAnswer("unknown", 1, false, 30), LeaderTable.Change.NONE);
+		assertEquals(table.onReply("vm-1", 7, false, 0), LeaderTable.Change.FOUND);
+		assertEquals(table.onReply("vm-1", 7, false, 10), LeaderTable.Change.NONE);
+		assertEquals(table.onReply("vm-1", 8, false, 20), LeaderTable.Change.RESTARTED);
+		assertEquals(table.onReply("unknown", 1, false, 30), LeaderTable.Change.NONE);
 	}
 
 	@Test(dataProvider = "seeds")
@@ -324,7 +324,7 @@
 			for (VmRecord requested : table.dueHeartbeats(this.nowMs)) {
 				this.heartbeats++;
 				if (!this.down.contains(requested.vm())) {
-					table.onAnswer(requested.vm(), 1, table(requested.vm()).isDraining(), this.nowMs);
+					table.onReply(requested.vm(), 1, table(requested.vm()).isDraining(), this.nowMs);
 					this.lastReplyMs.put(vm + ">" + requested.vm(), this.nowMs);
 				}
 			}
--- a/core/src/test/java/org/tallycart/core/fleet/StoreReaderSimulation.java
+++ b/core/src/test/java/org/tallycart/core/fleet/StoreReaderSimulation.java
@@ -258,9 +258,9 @@
 				Vm other = StoreReaderSimulation.this.vms.get(requested.vm());
 				boolean reachable = other.started && !StoreReaderSimulation.this.down.contains(requested.vm());
 				if (reachable) {
-					this.table.onAnswer(requested.vm(), other.startMs + 1, false, now);
+					this.table.onReply(requested.vm(), other.startMs + 1, false, now);
 					boolean canRelay = other.chooser.canRelay(now);
-					this.chooser.onAnswer(requested.vm(), canRelay, canRelay ? other.chooser.storeAgeMs(now) : 0, now);
+					this.chooser.onReply(requested.vm(), canRelay, canRelay ? other.chooser.storeAgeMs(now) : 0, now);
 				}
 			}
 		}
--- a/core/src/test/java/org/tallycart/core/limit/LimitedFleet.java
+++ b/core/src/test/java/org/tallycart/core/limit/LimitedFleet.java
@@ -291,7 +291,7 @@
 				after(MESSAGE_DELAY_MS, () -> {
 					if (this.up && reaches(other, this)) {
 						this.reachability.onMessage(other.name, LimitedFleet.this.now);
-						this.table.onAnswer(other.name, other.incarnation, other.draining, LimitedFleet.this.now);
+						this.table.onReply(other.name, other.incarnation, other.draining, LimitedFleet.this.now);
 					}
 				});
 			});
--- a/core/src/test/java/org/tallycart/core/pool/PoolDispatcherTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/PoolDispatcherTests.java
@@ -74,7 +74,7 @@
 		PoolCall call = this.dispatcher.nextCall(0).orElseThrow();
 		assertEquals(call.jobs().size(), SPEC.batch());
 		assertTrue(this.dispatcher.nextCall(0).isEmpty(), "the only worker is busy");
-		assertEquals(this.dispatcher.onAnswer(call.number(), completed(call), 280), List.of());
+		assertEquals(this.dispatcher.onReply(call.number(), completed(call), 280), List.of());
 		assertEquals(this.received.size(), SPEC.batch());
 		assertEquals(this.dispatcher.nextCall(280).orElseThrow().jobs().size(), 2);
 	}
@@ -117,7 +117,7 @@
 		long now = 0;
 		for (int i = 0; i < 10; i++) {
 			PoolCall call = this.dispatcher.nextCall(now).orElseThrow();
-			this.dispatcher.onAnswer(call.number(), List.of(PieceOutcome.notCompleted(PieceOutcome.Status.NO_ROOM)),
+			this.dispatcher.onReply(call.number(), List.of(PieceOutcome.notCompleted(PieceOutcome.Status.NO_ROOM)),
 					now + 4);
 			assertTrue(this.dispatcher.nextCall(now + 5).isEmpty(), "a pause");
 			now += 100;
@@ -136,12 +136,12 @@
 		}
 		PoolCall first = this.dispatcher.nextCall(0).orElseThrow();
 		assertEquals(first.jobs().size(), 2);
-		this.dispatcher.onAnswer(first.number(), completed(first), 240);
+		this.dispatcher.onReply(first.number(), completed(first), 240);
 		assertTrue(this.dispatcher.nextCall(240).isEmpty(), "both results are still there");
 		this.dispatcher.release(List.of("w/r0"));
 		PoolCall second = this.dispatcher.nextCall(300).orElseThrow();
 		assertEquals(second.jobs().size(), 1);
-		this.dispatcher.onAnswer(second.number(), completed(second), 520);
+		this.dispatcher.onReply(second.number(), completed(second), 520);
 		assertEquals(this.dispatcher.nextCall(4_300).orElseThrow().jobs().size(), 1, "the other one has expired");
 	}
 
@@ -185,7 +185,7 @@
 			assertTrue(call.jobs().size() >= batch * 0.75 || !backlogged, call.jobs().size() + " of " + batch);
 			call.jobs().forEach((job) -> assertTrue(completed.add(job.id()), "made once: " + job.id()));
 			now += 500;
-			this.dispatcher.onAnswer(call.number(), completed(call), now);
+			this.dispatcher.onReply(call.number(), completed(call), now);
 		}
 	}
 
@@ -275,9 +275,9 @@
 		this.dispatcher.tick(600);
 		PoolCall again = this.dispatcher.nextCall(600).orElseThrow();
 		assertEquals(again.worker().id(), "fast");
-		assertEquals(this.dispatcher.onAnswer(again.number(), completed(again), 820), List.of());
+		assertEquals(this.dispatcher.onReply(again.number(), completed(again), 820), List.of());
 		assertEquals(this.received.size(), 1);
-		assertEquals(this.dispatcher.onAnswer(slow.number(), completed(slow), 1_500), List.of("w/r"));
+		assertEquals(this.dispatcher.onReply(slow.number(), completed(slow), 1_500), List.of("w/r"));
 	}
 
 	@Test
@@ -285,7 +285,7 @@
 		this.dispatcher.updateWorkers(List.of(worker("slow", "d", false), worker("fast", "d", false)), Set.of());
 		submit(job("a", 0, 9_000, "d", SMALL));
 		PoolCall first = this.dispatcher.nextCall(0).orElseThrow();
-		this.dispatcher.onAnswer(first.number(), completed(first), 2_000);
+		this.dispatcher.onReply(first.number(), completed(first), 2_000);
 		submit(job("b", 0, 9_000, "d", SMALL));
 		PoolCall second = this.dispatcher.nextCall(2_000).orElseThrow();
 		assertFalse(second.worker().id().equals(first.worker().id()));
@@ -326,7 +326,7 @@
 		PoolCall first = this.dispatcher.nextCall(0).orElseThrow();
 		this.dispatcher.tick(150);
 		assertEquals(read, List.of(), "the worker may be busy with another dispatcher's call");
-		this.dispatcher.onAnswer(first.number(), completed(first), 220);
+		this.dispatcher.onReply(first.number(), completed(first), 220);
 		submitRecordingReads(reader("second"), read);
 		this.dispatcher.nextCall(220);
 		this.dispatcher.tick(300);
@@ -350,7 +350,7 @@
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
 		submitRecordingReads(reader("first"), new ArrayList<>());
 		PoolCall first = this.dispatcher.nextCall(0).orElseThrow();
-		this.dispatcher.onAnswer(first.number(), completed(first), 220);
+		this.dispatcher.onReply(first.number(), completed(first), 220);
 		submitRecordingReads(reader("second"), new ArrayList<>());
 		PoolCall second = this.dispatcher.nextCall(220).orElseThrow();
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false), worker("other", "d", false)), Set.of());
@@ -390,7 +390,7 @@
 		this.dispatcher.submit(job("asked later", 0, 9_000, "d", SMALL), listener);
 		assertEquals(handedBack, List.of(new PieceId("waiting", 0, 0), new PieceId("asked later", 0, 0)));
 		assertTrue(this.received.isEmpty());
-		this.dispatcher.onAnswer(call.number(), completed(call), 220);
+		this.dispatcher.onReply(call.number(), completed(call), 220);
 		assertEquals(this.received.keySet(), Set.of(new PieceId("running", 0, 0)));
 		assertEquals(this.dispatcher.queueSize() + this.dispatcher.callsInProgress(), 0);
 		this.dispatcher.resume();
@@ -430,7 +430,7 @@
 		this.dispatcher.updateWorkers(List.of(worker("w", "d", false)), Set.of());
 		PoolCall call = this.dispatcher.nextCall(0).orElseThrow();
 		assertEquals(call.jobs().size(), 1);
-		this.dispatcher.onAnswer(call.number(), completed(call), 220);
+		this.dispatcher.onReply(call.number(), completed(call), 220);
 		assertEquals(notified, List.of("second"));
 	}
 
@@ -494,7 +494,7 @@
 			outcomes.add((kind != PieceOutcome.Status.MADE) ? PieceOutcome.notCompleted(kind)
 					: PieceOutcome.completed("w/" + job.id().requestId()));
 		}
-		this.dispatcher.onAnswer(call.number(), outcomes, now);
+		this.dispatcher.onReply(call.number(), outcomes, now);
 	}
 
 }
--- a/core/src/test/java/org/tallycart/core/pool/PoolWorkerChangesTests.java
+++ b/core/src/test/java/org/tallycart/core/pool/PoolWorkerChangesTests.java
@@ -70,7 +70,7 @@
 		assertTrue(this.dispatcher.nextCall(20).isEmpty());
 		this.dispatcher.updateWorkers(workers, Set.of());
 		assertTrue(this.dispatcher.nextCall(30).isEmpty(), "both still have their calls");
-		this.dispatcher.onAnswer(running.number(), List.of(PieceOutcome.completed("h1")), 210);
+		this.dispatcher.onReply(running.number(), List.of(PieceOutcome.completed("h1")), 210);
 		assertEquals(this.dispatcher.nextCall(210).orElseThrow().worker(), running.worker());
 	}
 
--- a/core/src/test/java/org/tallycart/core/pool/model/PoolSimulation.java
+++ b/core/src/test/java/org/tallycart/core/pool/model/PoolSimulation.java
@@ -254,7 +254,7 @@
 
 		private void onEnd(PoolCall call, List<PieceOutcome> outcomes) {
 			after(MESSAGE_MS, () -> {
-				release(this.dispatcher.onAnswer(call.number(), outcomes, PoolSimulation.this.nowMs));
+				release(this.dispatcher.onReply(call.number(), outcomes, PoolSimulation.this.nowMs));
 				pump();
 			});
 		}
--- a/core/src/test/java/org/tallycart/core/routing/RoutingTests.java
+++ b/core/src/test/java/org/tallycart/core/routing/RoutingTests.java
@@ -40,8 +40,8 @@
 	@Test
 	void aDrainingUpstreamIsNeverACandidateAgain() {
 		UpstreamTable table = table(3);
-		assertTrue(table.markLeaving("u1"));
-		assertFalse(table.markLeaving("u1"));
+		assertTrue(table.markDraining("u1"));
+		assertFalse(table.markDraining("u1"));
 		table.update(List.of(service(3)));
 		List<String> remaining = table.candidates("encode", Set.of(), 0)
 			.stream()
--- a/ctl/src/main/java/org/tallycart/ctl/ApplyCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/ApplyCommand.java
@@ -55,7 +55,7 @@
 	private FleetOptions fleet = new FleetOptions();
 
 	@Mixin
-	private Output output = new Output();
+	private OutputOptions output = new OutputOptions();
 
 	@Override
 	public Integer call() throws InterruptedException {
--- a/ctl/src/main/java/org/tallycart/ctl/HistoryCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/HistoryCommand.java
@@ -32,7 +32,7 @@
 	private FleetOptions fleet = new FleetOptions();
 
 	@Mixin
-	private Output output = new Output();
+	private OutputOptions output = new OutputOptions();
 
 	@Override
 	public Integer call() {
--- a/ctl/src/main/java/org/tallycart/ctl/Output.java
+++ b/ctl/src/main/java/org/tallycart/ctl/OutputOptions.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-final class Output {
+final class OutputOptions {
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/ctl/src/main/java/org/tallycart/ctl/StatusCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/StatusCommand.java
@@ -25,7 +25,7 @@
 	private FleetOptions fleet = new FleetOptions();
 
 	@Mixin
-	private Output output = new Output();
+	private OutputOptions output = new OutputOptions();
 
 	@Override
 	public Integer call() {
--- a/ctl/src/main/java/org/tallycart/ctl/TimelineCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/TimelineCommand.java
@@ -37,7 +37,7 @@
 	private FleetOptions fleet = new FleetOptions();
 
 	@Mixin
-	private Output output = new Output();
+	private OutputOptions output = new OutputOptions();
 
 	@Override
 	public Integer call() {
--- a/entry/src/main/java/org/tallycart/entry/CallerHandler.java
+++ b/entry/src/main/java/org/tallycart/entry/CallerHandler.java
@@ -19,11 +19,11 @@
 import org.tallycart.core.outcome.Outcome;
 import org.tallycart.core.outcome.Reason;
 import org.tallycart.core.outcome.RequestResult;
-import org.tallycart.entry.caller.Answer;
 import org.tallycart.entry.caller.CallerFields;
 import org.tallycart.entry.caller.CallerRequest;
 import org.tallycart.entry.caller.CallerRequestReader;
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.entry.caller.CallerResponse;
+import org.tallycart.runtime.process.TaskFailureHandler;
 
 /**
  * Answers callers over HTTP.
@@ -56,9 +56,9 @@
 
 	private final RequestRunner runner;
 
-	private final Guard guard;
+	private final TaskFailureHandler guard;
 
-	CallerHandler(RequestRunner runner, Guard guard) {
+	CallerHandler(RequestRunner runner, TaskFailureHandler guard) {
 		this.runner = runner;
 		this.guard = guard;
 	}
@@ -71,7 +71,7 @@
 			if (parsed.isLeft()) {
 				RequestResult ending = RequestResult.of(Outcome.NOT_RUN, Reason.BAD_REQUEST,
 						String.join("; ", parsed.getLeft()));
-				answer(response, new Answer("", ending, "", 0, -1, 0, Map.of()));
+				answer(response, new CallerResponse("", ending, "", 0, -1, 0, Map.of()));
 				return;
 			}
 			run(parsed.get(), response);
@@ -100,9 +100,9 @@
 
 	private void stream(RequestRunner.Run run, OutputStream out) throws IOException {
 		try {
-			Answer answer = run
+			CallerResponse answer = run
 				.finish((piece) -> event(out, "", JSON.writeValueAsBytes(JSON.createObjectNode().put("text", piece))));
-			event(out, "event: end\n", answer.json(false));
+			event(out, "event: end\n", answer.toJson(false));
 		}
 		catch (InvariantViolation ex) {
 			this.guard.onError("request", ex);
@@ -129,7 +129,7 @@
 		response.setEntity(new ByteArrayEntity(json, ContentType.APPLICATION_JSON));
 	}
 
-	private static void answer(ClassicHttpResponse response, Answer answer) {
+	private static void answer(ClassicHttpResponse response, CallerResponse answer) {
 		RequestResult ending = answer.ending();
 		response.setCode(status(ending));
 		response.setHeader(CallerFields.REQUEST_ID, answer.requestId());
@@ -139,7 +139,7 @@
 			response.setHeader(CallerFields.RETRY_AFTER_MS, String.valueOf(ending.retryAfterMs()));
 			response.setHeader("Retry-After", String.valueOf((ending.retryAfterMs() + MILLIS - 1) / MILLIS));
 		}
-		response.setEntity(new ByteArrayEntity(answer.json(true), ContentType.APPLICATION_JSON));
+		response.setEntity(new ByteArrayEntity(answer.toJson(true), ContentType.APPLICATION_JSON));
 	}
 
 	private static int status(RequestResult ending) {
--- a/entry/src/main/java/org/tallycart/entry/Entry.java
+++ b/entry/src/main/java/org/tallycart/entry/Entry.java
@@ -16,19 +16,19 @@
 import org.tallycart.core.time.HybridClock;
 import org.tallycart.entry.claim.ClaimClient;
 import org.tallycart.entry.stage.LoadPoller;
-import org.tallycart.entry.stage.Routing;
+import org.tallycart.entry.stage.StageContext;
+import org.tallycart.entry.stage.StageLatencyEstimator;
 import org.tallycart.entry.stage.StageRunner;
-import org.tallycart.entry.stage.StageTimes;
-import org.tallycart.entry.stage.StageTools;
+import org.tallycart.entry.stage.UpstreamRouter;
 import org.tallycart.entry.state.EntryState;
-import org.tallycart.entry.state.StewardLink;
-import org.tallycart.http.HttpListener;
-import org.tallycart.http.HttpPool;
+import org.tallycart.entry.state.StewardClient;
+import org.tallycart.http.BlockingHttpServer;
+import org.tallycart.http.HttpConnectionPool;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.runtime.event.EventLog;
 import org.tallycart.runtime.process.Clocks;
 import org.tallycart.runtime.process.Daemon;
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 import org.tallycart.runtime.status.StatusServer;
 import org.tallycart.wire.WireIdentity;
 import org.tallycart.wire.WireTransport;
@@ -64,23 +64,23 @@
 
 	private final EventLog events;
 
-	private final Guard guard;
+	private final TaskFailureHandler guard;
 
 	private final MetricRegistry metrics = new MetricRegistry();
 
 	private final WireTransport transport;
 
-	private final StewardLink link;
+	private final StewardClient link;
 
 	private final UpstreamTable table;
 
 	private final LoadPoller poller;
 
-	private final HttpPool pool = HttpPool.create(IDLE_CONNECTIONS);
+	private final HttpConnectionPool pool = HttpConnectionPool.create(IDLE_CONNECTIONS);
 
 	private final ThreadPoolExecutor attempts;
 
-	private final WorkspaceLimits limits = new WorkspaceLimits();
+	private final WorkspaceLimiter limits = new WorkspaceLimiter();
 
 	private final RequestRunner runner;
 
@@ -92,7 +92,7 @@
 
 	private volatile boolean draining;
 
-	private HttpListener callers;
+	private BlockingHttpServer callers;
 
 	private StatusServer status;
 
@@ -102,12 +102,12 @@
 		String vm = settings.vm().id();
 		HybridClock clock = new HybridClock();
 		this.events = EventLog.create("entry@" + vm, EVENTS_KEPT, clock, Clocks.SYSTEM);
-		this.guard = Guard.install(this.events::emit);
+		this.guard = TaskFailureHandler.install(this.events::emit);
 		this.transport = WireTransport
 			.create(new WireIdentity(vm, Clocks.SYSTEM.wallMs(), clock, Clocks.SYSTEM::wallMs));
 		this.table = UpstreamTable.create(vm, settings.vm().domain(), settings.subset());
-		this.link = StewardLink.create(this.transport, settings.steward(), this.events, this.guard, this::adopt);
-		Routing routing = Routing.create(this.table, this.events, this.link::tellLeaving);
+		this.link = StewardClient.create(this.transport, settings.steward(), this.events, this.guard, this::adopt);
+		UpstreamRouter routing = UpstreamRouter.create(this.table, this.events, this.link::reportDraining);
 		this.poller = LoadPoller.create(this.table, routing, this.guard);
 		this.attempts = new ThreadPoolExecutor(0, settings.maxConnections() * ATTEMPTS_PER_CONNECTION,
 				IDLE_THREAD_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), (task) -> {
@@ -115,7 +115,7 @@
 					thread.setDaemon(true);
 					return thread;
 				});
-		StageTools tools = new StageTools(routing, new StageTimes(), this.pool,
+		StageContext tools = new StageContext(routing, new StageLatencyEstimator(), this.pool,
 				RetryBudget.create(settings.retryShare(), RETRIES_AT_START, RETRIES_SAVED), this.events, this.attempts);
 		ClaimClient claims = ClaimClient.create(vm, this.transport, this.link::state, settings.window(), this.events);
 		this.runner = new RequestRunner(this.link::state, StageRunner.create(tools, settings.overcommit()), claims,
@@ -124,7 +124,7 @@
 
 	static Either<String, Daemon> start(EntrySettings settings) {
 		Entry entry = new Entry(settings);
-		return HttpListener
+		return BlockingHttpServer
 			.start(settings.listen(), "caller", settings.maxConnections(), new CallerHandler(entry.runner, entry.guard))
 			.flatMap((callers) -> {
 				entry.callers = callers;
@@ -140,10 +140,10 @@
 
 	private void begin() {
 		this.metrics.register("callers.connections", (Gauge<Integer>) this.callers::openCount);
-		every(LINK_TICK_MS, "steward link", this.link::tick);
-		every(this.settings.pollMs(), "load reports", this.poller::tick);
-		every(LIMITS_TICK_MS, "limits", () -> this.limits.tick(this.link));
-		this.events.emit(EventCode.PROCESS_STARTED, addresses());
+		every(LINK_TICK_MS, "steward link", this.link::ensureConnected);
+		every(this.settings.pollMs(), "load reports", this.poller::pollAll);
+		every(LIMITS_TICK_MS, "limits", () -> this.limits.reportDemand(this.link));
+		this.events.emit(EventCode.PROCESS_STARTED, listeningPorts());
 	}
 
 	private void every(long intervalMs, String name, Runnable task) {
@@ -153,7 +153,7 @@
 	private void adopt(EntryState state) {
 		this.table.update(state.declarations().services().values());
 		state.leaving().forEach((upstream) -> {
-			if (this.table.markLeaving(upstream)) {
+			if (this.table.markDraining(upstream)) {
 				this.events.emit(EventCode.UPSTREAM_LEAVING, upstream + " by the steward");
 			}
 		});
@@ -174,12 +174,12 @@
 			.put("slots_version", state.slotsVersion())
 			.put("vms_version", state.vms().version())
 			.put("active_vms", state.activeVms())
-			.put("steward_connected", this.link.connected())
+			.put("steward_connected", this.link.isConnected())
 			.put("connections", this.callers.openCount());
 	}
 
 	@Override
-	public String addresses() {
+	public String listeningPorts() {
 		return "callers=" + this.callers.port() + " status=" + this.status.port();
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/RequestRunner.java
+++ b/entry/src/main/java/org/tallycart/entry/RequestRunner.java
@@ -17,8 +17,8 @@
 import org.tallycart.core.policy.Policy;
 import org.tallycart.core.policy.RecordedDecision;
 import org.tallycart.core.policy.RequestFacts;
-import org.tallycart.entry.caller.Answer;
 import org.tallycart.entry.caller.CallerRequest;
+import org.tallycart.entry.caller.CallerResponse;
 import org.tallycart.entry.claim.ClaimClient;
 import org.tallycart.entry.claim.ClaimDecision;
 import org.tallycart.entry.stage.CostMeter;
@@ -50,13 +50,13 @@
 
 	private final ClaimClient claims;
 
-	private final WorkspaceLimits limits;
+	private final WorkspaceLimiter limits;
 
 	private final EventLog events;
 
 	private final MetricRegistry metrics;
 
-	RequestRunner(Supplier<EntryState> state, StageRunner stages, ClaimClient claims, WorkspaceLimits limits,
+	RequestRunner(Supplier<EntryState> state, StageRunner stages, ClaimClient claims, WorkspaceLimiter limits,
 			EventLog events, MetricRegistry metrics) {
 		this.state = state;
 		this.stages = stages;
@@ -157,7 +157,7 @@
 				this.refusal = admit(own);
 			}
 			if (this.refusal.isEmpty() && this.stored.isEmpty()) {
-				Either<RequestResult, PipelineData> made = RequestRunner.this.stages.runCalls(own);
+				Either<RequestResult, PipelineData> made = RequestRunner.this.stages.runUnaryStages(own);
 				made.peek((result) -> this.data = result);
 				made.peekLeft((ending) -> this.refusal = Optional.of(ending));
 			}
@@ -176,7 +176,7 @@
 				return Optional
 					.of(RequestResult.of(Outcome.NOT_RUN, Reason.POLICY_REFUSED, "policy " + own.pipeline().policy()));
 			}
-			this.entered = RequestRunner.this.limits.tryEnter(own.workspace(), own.state());
+			this.entered = RequestRunner.this.limits.tryAcquire(own.workspace(), own.state());
 			if (!this.entered) {
 				return Optional.of(new RequestResult(Outcome.NOT_RUN, Reason.WORKSPACE_LIMIT,
 						"workspace " + own.workspace().id() + " is over its limit",
@@ -192,7 +192,7 @@
 		 */
 		boolean willStream() {
 			return this.refusal.isEmpty() && this.stored.isEmpty()
-					&& this.context.filter(RequestRunner.this.stages::generates).isPresent();
+					&& this.context.filter(RequestRunner.this.stages::endsWithGeneration).isPresent();
 		}
 
 		/**
@@ -208,15 +208,15 @@
 		 * @param sink takes generated text
 		 * @return the answer
 		 */
-		Answer finish(TextSink sink) {
+		CallerResponse finish(TextSink sink) {
 			Either<RequestResult, String> output = this.refusal.<Either<RequestResult, String>>map(Either::left)
 				.orElseGet(() -> willStream() ? generate(sink) : Either.right(this.data.output()));
 			RequestResult ending = end(output.isRight() ? RequestResult.complete() : output.getLeft());
 			this.context.filter((own) -> this.entered)
-				.ifPresent((own) -> RequestRunner.this.limits.leave(own.workspace()));
+				.ifPresent((own) -> RequestRunner.this.limits.release(own.workspace()));
 			boolean complete = ending.outcome() == Outcome.COMPLETE;
 			Map<String, Double> cost = this.context.map((own) -> own.cost().totals(complete)).orElse(Map.of());
-			Answer answer = new Answer(this.request.id(), ending, complete ? output.get() : "",
+			CallerResponse answer = new CallerResponse(this.request.id(), ending, complete ? output.get() : "",
 					this.context.map((own) -> own.state().configVersion()).orElse(0L), this.firstTokenMs,
 					Clocks.SYSTEM.monotonicMs() - this.arrivedMs, cost);
 			settleClaim(answer);
@@ -236,7 +236,7 @@
 			return this.context.map((own) -> own.ledger().end(wanted)).orElse(wanted);
 		}
 
-		private void settleClaim(Answer answer) {
+		private void settleClaim(CallerResponse answer) {
 			if (!this.claimed) {
 				return;
 			}
@@ -244,11 +244,12 @@
 				RequestRunner.this.claims.release(this.request.key().orElseThrow(), this.submission);
 			}
 			else {
-				RequestRunner.this.claims.finish(this.request.key().orElseThrow(), this.submission, answer.json(true));
+				RequestRunner.this.claims.finish(this.request.key().orElseThrow(), this.submission,
+						answer.toJson(true));
 			}
 		}
 
-		private void record(Answer answer) {
+		private void record(CallerResponse answer) {
 			RequestResult ending = answer.ending();
 			RequestRunner.this.events.emit(EventCode.REQUEST_ENDED, this.request.id(),
 					ending.outcome() + " " + ending.reason() + " " + ending.detail());
--- a/entry/src/main/java/org/tallycart/entry/WorkspaceLimits.java
+++ b/entry/src/main/java/org/tallycart/entry/WorkspaceLimiter.java
@@ -7,7 +7,7 @@
 import org.tallycart.core.limit.ShareLimiter;
 import org.tallycart.core.limit.ShareRequest;
 import org.tallycart.entry.state.EntryState;
-import org.tallycart.entry.state.StewardLink;
+import org.tallycart.entry.state.StewardClient;
 import org.tallycart.runtime.process.Clocks;
 import org.tallycart.wire.message.ShareDemand;
 import org.tallycart.wire.message.ShareGrant;
@@ -20,7 +20,7 @@
  *
  * @since 0.1
  */
-final class WorkspaceLimits {
+final class WorkspaceLimiter {
 
 	private static final double IDLE_DEMAND = 0.01;
 
@@ -34,9 +34,9 @@
 	 * Let a request in, if its workspace's limits allow.
 	 * @param workspace the workspace
 	 * @param state the state of the fleet
-	 * @return whether it may enter; if so, {@link #leave} must follow
+	 * @return whether it may enter; if so, {@link #release} must follow
 	 */
-	synchronized boolean tryEnter(Workspace workspace, EntryState state) {
+	synchronized boolean tryAcquire(Workspace workspace, EntryState state) {
 		long nowMs = Clocks.SYSTEM.monotonicMs();
 		int running = this.inFlight.getOrDefault(workspace.id(), 0);
 		if (workspace.concurrency() > 0 && running >= Math.max(workspace.concurrency() / state.activeVms(), 1)) {
@@ -54,7 +54,7 @@
 		return true;
 	}
 
-	synchronized void leave(Workspace workspace) {
+	synchronized void release(Workspace workspace) {
 		this.inFlight.computeIfPresent(workspace.id(), (key, running) -> (running > 1) ? running - 1 : null);
 	}
 
@@ -66,13 +66,13 @@
 	 * Report demand to the steward and take the grants it brings. Called each second.
 	 * @param link the steward
 	 */
-	void tick(StewardLink link) {
+	void reportDemand(StewardClient link) {
 		long askedMs = Clocks.SYSTEM.monotonicMs();
 		ShareReport report = report(link.state(), askedMs);
 		if (report.getDemandsCount() == 0) {
 			return;
 		}
-		link.askShares(report).thenAccept((reply) -> reply.peek((message) -> {
+		link.requestShares(report).thenAccept((reply) -> reply.peek((message) -> {
 			for (ShareGrant grant : message.getShareAnswer().getGrantsList()) {
 				take(grant, askedMs);
 			}
--- a/entry/src/main/java/org/tallycart/entry/caller/Answer.java
+++ b/entry/src/main/java/org/tallycart/entry/caller/CallerResponse.java
@@ -23,8 +23,8 @@
  * @param cost what its stages cost
  * @since 0.1
  */
-public record Answer(String requestId, RequestResult ending, String output, long configVersion, long firstTokenMs,
-		long totalMs, Map<String, Double> cost) {
+public record CallerResponse(String requestId, RequestResult ending, String output, long configVersion,
+		long firstTokenMs, long totalMs, Map<String, Double> cost) {
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -33,7 +33,7 @@
 	 * @param withOutput whether to hold the text too; the end record of a stream does not
 	 * @return the bytes
 	 */
-	public byte[] json(boolean withOutput) {
+	public byte[] toJson(boolean withOutput) {
 		byte[] text = this.output.getBytes(StandardCharsets.UTF_8);
 		ObjectNode node = JSON.createObjectNode()
 			.put("request_id", this.requestId)
--- a/entry/src/main/java/org/tallycart/entry/stage/CostMeter.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/CostMeter.java
@@ -16,7 +16,7 @@
  */
 public final class CostMeter {
 
-	private final List<Item> items = new ArrayList<>();
+	private final List<AttemptCost> items = new ArrayList<>();
 
 	/**
 	 * Add the cost of an attempt that has ended.
@@ -25,7 +25,7 @@
 	 * @param tokens tokens it generated
 	 */
 	synchronized void add(Service service, Use use, int tokens) {
-		this.items.add(new Item(service.id(), use, service.costPerCall() + service.costPerToken() * tokens));
+		this.items.add(new AttemptCost(service.id(), use, service.costPerCall() + service.costPerToken() * tokens));
 	}
 
 	/**
@@ -35,7 +35,7 @@
 	 */
 	public synchronized Map<String, Double> totals(boolean complete) {
 		Map<String, Double> totals = new TreeMap<>();
-		for (Item item : this.items) {
+		for (AttemptCost item : this.items) {
 			Use use = (complete || item.use != Use.USEFUL) ? item.use : Use.ABANDONED;
 			totals.merge(item.service + "." + use.name().toLowerCase(java.util.Locale.ROOT), item.cost, Double::sum);
 		}
@@ -56,7 +56,7 @@
 
 	}
 
-	private record Item(String service, Use use, double cost) {
+	private record AttemptCost(String service, Use use, double cost) {
 	}
 
 }
--- a/entry/src/main/java/org/tallycart/entry/stage/GenerateStage.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/GenerationStage.java
@@ -14,7 +14,7 @@
 import org.tallycart.core.outcome.Reason;
 import org.tallycart.core.outcome.RequestResult;
 import org.tallycart.http.HttpCall;
-import org.tallycart.http.HttpStream;
+import org.tallycart.http.StreamedReply;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.runtime.process.Clocks;
 
@@ -27,7 +27,7 @@
  *
  * @since 0.1
  */
-final class GenerateStage {
+final class GenerationStage {
 
 	private static final String PATH = "/v1/completions";
 
@@ -39,7 +39,7 @@
 
 	private static final long DRAIN_MS = 1_000;
 
-	private final StageTools tools;
+	private final StageContext tools;
 
 	private final RequestContext context;
 
@@ -59,7 +59,7 @@
 
 	private long firstTokenMs = -1;
 
-	GenerateStage(StageTools tools, RequestContext context, Service service, PipelineData data, TextSink sink) {
+	GenerationStage(StageContext tools, RequestContext context, Service service, PipelineData data, TextSink sink) {
 		this.tools = tools;
 		this.context = context;
 		this.service = service;
@@ -128,7 +128,7 @@
 			long millis) {
 		if (outcome.isRight()) {
 			call.finish();
-			this.tools.routing().succeeded(this.service, call.upstream(), Math.max(this.tokensOfAttempt, 1), millis);
+			this.tools.routing().onSuccess(this.service, call.upstream(), Math.max(this.tokensOfAttempt, 1), millis);
 			if (!this.context.ledger().accept(call.number())) {
 				return Either.left(AttemptFailure.error("the answer came too late"));
 			}
@@ -139,13 +139,13 @@
 		call.cancel();
 		this.context.ledger().close(call.number(), failure.state());
 		if (failure.message().equals(UpstreamCall.LEAVING)) {
-			this.tools.routing().leaving(call.upstream().id());
+			this.tools.routing().onDraining(call.upstream().id());
 		}
 		if (failure.slow()) {
-			this.tools.routing().tooSlow(this.service, call.upstream(), Math.max(this.tokensOfAttempt, 1), millis);
+			this.tools.routing().onTimeout(this.service, call.upstream(), Math.max(this.tokensOfAttempt, 1), millis);
 			return outcome;
 		}
-		this.tools.routing().failed(call.upstream(), failure.blame(), failure.message());
+		this.tools.routing().onFailure(call.upstream(), failure.blame(), failure.message());
 		return outcome;
 	}
 
@@ -161,10 +161,10 @@
 	}
 
 	private long patienceMs() {
-		return Math.min(this.context.remainingMs(), this.tools.times().patienceMs(this.service));
+		return Math.min(this.context.remainingMs(), this.tools.times().idleTimeoutMs(this.service));
 	}
 
-	private Either<AttemptFailure, String> read(HttpStream stream, UpstreamCall call, long beganMs) {
+	private Either<AttemptFailure, String> read(StreamedReply stream, UpstreamCall call, long beganMs) {
 		long firstMs = -1;
 		while (true) {
 			long patience = patienceMs();
@@ -195,15 +195,15 @@
 				}
 				long streaming = Clocks.SYSTEM.monotonicMs() - beganMs - firstMs;
 				if (this.tools.times()
-					.betterElsewhere(this.service, this.tokensOfAttempt, streaming, this.data.maxTokens() - this.tokens,
-							this.context.remainingMs())) {
+					.isFasterElsewhere(this.service, this.tokensOfAttempt, streaming,
+							this.data.maxTokens() - this.tokens, this.context.remainingMs())) {
 					return Either.left(AttemptFailure.tooSlow());
 				}
 			}
 		}
 	}
 
-	private Either<AttemptFailure, String> drain(HttpStream stream, UpstreamCall call) {
+	private Either<AttemptFailure, String> drain(StreamedReply stream, UpstreamCall call) {
 		// The blank line after the end mark and the last chunk belong to the answer.
 		while (true) {
 			var line = stream.nextLine(DRAIN_MS);
--- a/entry/src/main/java/org/tallycart/entry/stage/LoadPoller.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/LoadPoller.java
@@ -10,10 +10,10 @@
 import org.tallycart.core.declaration.Upstream;
 import org.tallycart.core.routing.UpstreamTable;
 import org.tallycart.http.HttpCall;
-import org.tallycart.http.HttpPool;
+import org.tallycart.http.HttpConnectionPool;
 import org.tallycart.http.HttpReply;
 import org.tallycart.runtime.process.Clocks;
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 
 /**
  * Reads the load reports of the upstreams that this VM uses.
@@ -33,11 +33,11 @@
 
 	private final UpstreamTable table;
 
-	private final Routing routing;
+	private final UpstreamRouter routing;
 
-	private final Guard guard;
+	private final TaskFailureHandler guard;
 
-	private final HttpPool pool = HttpPool.create(IDLE_CONNECTIONS);
+	private final HttpConnectionPool pool = HttpConnectionPool.create(IDLE_CONNECTIONS);
 
 	private final AtomicBoolean polling = new AtomicBoolean();
 
@@ -47,7 +47,7 @@
 		return thread;
 	});
 
-	private LoadPoller(UpstreamTable table, Routing routing, Guard guard) {
+	private LoadPoller(UpstreamTable table, UpstreamRouter routing, TaskFailureHandler guard) {
 		this.table = table;
 		this.routing = routing;
 		this.guard = guard;
@@ -60,14 +60,14 @@
 	 * @param guard watches over background tasks
 	 * @return the poller
 	 */
-	public static LoadPoller create(UpstreamTable table, Routing routing, Guard guard) {
+	public static LoadPoller create(UpstreamTable table, UpstreamRouter routing, TaskFailureHandler guard) {
 		return new LoadPoller(table, routing, guard);
 	}
 
 	/**
 	 * Poll every upstream once. Called at each interval; does not block.
 	 */
-	public void tick() {
+	public void pollAll() {
 		if (!this.polling.compareAndSet(false, true)) {
 			return;
 		}
@@ -90,14 +90,14 @@
 		long askedMs = Clocks.SYSTEM.monotonicMs();
 		this.pool.call(upstream.address(), HttpCall.get("/load").build(), TIMEOUT_MS)
 			.toOption()
-			.filter(HttpReply::ok)
+			.filter(HttpReply::isSuccess)
 			.forEach((reply) -> Json.read(reply.text()).forEach((report) -> take(upstream, report, askedMs)));
 	}
 
 	private void take(Upstream upstream, JsonNode report, long askedMs) {
 		this.table.onReport(upstream.id(), report.path("running").asInt() + report.path("waiting").asInt(), askedMs);
 		if (report.path("state").asText().equals("leaving")) {
-			this.routing.leaving(upstream.id());
+			this.routing.onDraining(upstream.id());
 		}
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/stage/StageGate.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/StageConcurrencyLimiter.java
@@ -18,7 +18,7 @@
  *
  * @since 0.1
  */
-final class StageGate {
+final class StageConcurrencyLimiter {
 
 	private static final int CAPACITY = 1_000;
 
@@ -26,7 +26,7 @@
 
 	private final StageQueue<Waiter> queue = StageQueue.create(CAPACITY, 1);
 
-	StageGate(String service) {
+	StageConcurrencyLimiter(String service) {
 		this.service = service;
 	}
 
@@ -123,9 +123,9 @@
 	/** Leave to have a call in flight. */
 	static final class Permit implements AutoCloseable {
 
-		private final StageGate gate;
+		private final StageConcurrencyLimiter gate;
 
-		private Permit(StageGate gate) {
+		private Permit(StageConcurrencyLimiter gate) {
 			this.gate = gate;
 		}
 
--- a/entry/src/main/java/org/tallycart/entry/stage/StageTools.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/StageContext.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.ExecutorService;
 
 import org.tallycart.core.routing.RetryBudget;
-import org.tallycart.http.HttpPool;
+import org.tallycart.http.HttpConnectionPool;
 import org.tallycart.runtime.event.EventLog;
 
 /**
@@ -19,6 +19,6 @@
  * @param executor runs attempts
  * @since 0.1
  */
-public record StageTools(Routing routing, StageTimes times, HttpPool pool, RetryBudget budget, EventLog events,
-		ExecutorService executor) {
+public record StageContext(UpstreamRouter routing, StageLatencyEstimator times, HttpConnectionPool pool,
+		RetryBudget budget, EventLog events, ExecutorService executor) {
 }
--- a/entry/src/main/java/org/tallycart/entry/stage/StageTimes.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/StageLatencyEstimator.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-public final class StageTimes {
+public final class StageLatencyEstimator {
 
 	private static final int WINDOW = 128;
 
@@ -71,7 +71,7 @@
 	 * @param service the service
 	 * @return milliseconds; {@link Long#MAX_VALUE} while too little is known
 	 */
-	long slowMs(Service service) {
+	long hedgeDelayMs(Service service) {
 		LatencyWindow window = window(this.calls, service);
 		if (window.size() < SAMPLES_TO_TRUST) {
 			return Long.MAX_VALUE;
@@ -84,8 +84,8 @@
 	 * @param service the service
 	 * @return milliseconds
 	 */
-	long patienceMs(Service service) {
-		long slow = slowMs(service);
+	long idleTimeoutMs(Service service) {
+		long slow = hedgeDelayMs(service);
 		return (slow != Long.MAX_VALUE) ? Math.max(STALL_MS, slow) : 2 * STALL_MS;
 	}
 
@@ -99,7 +99,7 @@
 	 * @param remainingMs time left to the deadline
 	 * @return true if the rest is better asked for elsewhere
 	 */
-	boolean betterElsewhere(Service service, int tokens, long elapsedMs, int tokensLeft, long remainingMs) {
+	boolean isFasterElsewhere(Service service, int tokens, long elapsedMs, int tokensLeft, long remainingMs) {
 		long usualMicros = window(this.tokenMicros, service).quantile(MEDIAN, 0);
 		if (tokens < TOKENS_TO_JUDGE || usualMicros == 0) {
 			return false;
--- a/entry/src/main/java/org/tallycart/entry/stage/StageRunner.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/StageRunner.java
@@ -32,13 +32,13 @@
 
 	private static final long SHORTEST_COME_BACK_MS = 100;
 
-	private final StageTools tools;
+	private final StageContext tools;
 
 	private final double overcommit;
 
-	private final Map<String, StageGate> gates = new ConcurrentHashMap<>();
+	private final Map<String, StageConcurrencyLimiter> gates = new ConcurrentHashMap<>();
 
-	private StageRunner(StageTools tools, double overcommit) {
+	private StageRunner(StageContext tools, double overcommit) {
 		this.tools = tools;
 		this.overcommit = overcommit;
 	}
@@ -49,7 +49,7 @@
 	 * @param overcommit calls in flight for each slot of a service, over all VMs
 	 * @return the runner
 	 */
-	public static StageRunner create(StageTools tools, double overcommit) {
+	public static StageRunner create(StageContext tools, double overcommit) {
 		return new StageRunner(tools, overcommit);
 	}
 
@@ -82,7 +82,7 @@
 	 * @param context the request
 	 * @return what the stages made, or how the request ends
 	 */
-	public Either<RequestResult, PipelineData> runCalls(RequestContext context) {
+	public Either<RequestResult, PipelineData> runUnaryStages(RequestContext context) {
 		Either<RequestResult, PipelineData> data = Either.right(PipelineData.begin(context.request().input(),
 				context.request().maxTokens(), context.pipeline().topDocuments()));
 		List<Service> services = services(context);
@@ -91,7 +91,7 @@
 			if (service.kind() != StageKind.GENERATE) {
 				PipelineData before = data.get();
 				data = gated(context, services.subList(i, services.size()),
-						() -> new CallStage(this.tools, context, service, before).run());
+						() -> new UnaryStage(this.tools, context, service, before).run());
 			}
 		}
 		return data;
@@ -102,7 +102,7 @@
 	 * @param context the request
 	 * @return true if it does
 	 */
-	public boolean generates(RequestContext context) {
+	public boolean endsWithGeneration(RequestContext context) {
 		List<Service> services = services(context);
 		return services.get(services.size() - 1).kind() == StageKind.GENERATE;
 	}
@@ -117,7 +117,7 @@
 	public Either<RequestResult, Generated> generate(RequestContext context, PipelineData data, TextSink sink) {
 		List<Service> services = services(context);
 		Service service = services.get(services.size() - 1);
-		GenerateStage stage = new GenerateStage(this.tools, context, service, data, sink);
+		GenerationStage stage = new GenerationStage(this.tools, context, service, data, sink);
 		return gated(context, List.of(service), stage::run)
 			.map((made) -> new Generated(made.output(), stage.firstTokenMs()));
 	}
@@ -131,17 +131,17 @@
 			return Either.left(hopeless(service));
 		}
 		long needed = expected.stream().mapToLong(Long::longValue).sum();
-		StageQueue.Work<StageGate.Waiter> work = new StageQueue.Work<>(new StageGate.Waiter(),
-				context.request().workspace(), context.workspace().weight(), context.priority(), context.dueMs(),
-				Math.max(expected.get(0), 1));
-		Either<Reason, StageGate.Permit> permit = gate(service).acquire(work, limit(context, service),
+		StageQueue.Work<StageConcurrencyLimiter.Waiter> work = new StageQueue.Work<>(
+				new StageConcurrencyLimiter.Waiter(), context.request().workspace(), context.workspace().weight(),
+				context.priority(), context.dueMs(), Math.max(expected.get(0), 1));
+		Either<Reason, StageConcurrencyLimiter.Permit> permit = gate(service).acquire(work, limit(context, service),
 				context.remainingMs() - needed);
 		if (permit.isLeft()) {
 			return Either
 				.left((permit.getLeft() == Reason.DEADLINE) ? hopeless(service) : new RequestResult(Outcome.NOT_RUN,
 						permit.getLeft(), "the queue of " + service.id() + " is full", COME_BACK_MS));
 		}
-		try (StageGate.Permit held = permit.get()) {
+		try (StageConcurrencyLimiter.Permit held = permit.get()) {
 			return call.get();
 		}
 	}
@@ -151,12 +151,12 @@
 				COME_BACK_MS);
 	}
 
-	private StageGate gate(Service service) {
-		return this.gates.computeIfAbsent(service.id(), StageGate::new);
+	private StageConcurrencyLimiter gate(Service service) {
+		return this.gates.computeIfAbsent(service.id(), StageConcurrencyLimiter::new);
 	}
 
 	private int limit(RequestContext context, Service service) {
-		return this.tools.routing().limit(service, context.state().activeVms(), this.overcommit);
+		return this.tools.routing().maxInFlight(service, context.state().activeVms(), this.overcommit);
 	}
 
 	private static List<Service> services(RequestContext context) {
--- a/entry/src/main/java/org/tallycart/entry/stage/CallStage.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/UnaryStage.java
@@ -34,13 +34,13 @@
  *
  * @since 0.1
  */
-final class CallStage {
+final class UnaryStage {
 
 	private static final Map<StageKind, StageProtocol> PROTOCOLS = new EnumMap<>(
 			Map.of(StageKind.ENCODE, new EncodeProtocol(), StageKind.RETRIEVE, new RetrieveProtocol(), StageKind.RERANK,
 					new RerankProtocol(), StageKind.PLAIN, new PlainProtocol()));
 
-	private final StageTools tools;
+	private final StageContext tools;
 
 	private final RequestContext context;
 
@@ -60,7 +60,7 @@
 
 	private @Nullable AttemptFailure lastFailure;
 
-	CallStage(StageTools tools, RequestContext context, Service service, PipelineData data) {
+	UnaryStage(StageContext tools, RequestContext context, Service service, PipelineData data) {
 		this.tools = tools;
 		this.context = context;
 		this.service = service;
@@ -77,7 +77,7 @@
 		if (!launch()) {
 			return Either.left(noUpstream());
 		}
-		long slowMs = this.tools.times().slowMs(this.service);
+		long slowMs = this.tools.times().hedgeDelayMs(this.service);
 		boolean mayHedge = this.context.request().repeatable();
 		while (true) {
 			long remaining = this.context.remainingMs();
@@ -165,7 +165,7 @@
 			this.tools.executor().execute(() -> this.results.add(attempt(call)));
 		}
 		catch (RejectedExecutionException ex) {
-			this.tools.routing().failed(call.upstream(), false, "");
+			this.tools.routing().onFailure(call.upstream(), false, "");
 			this.results.add(new AttemptResult(number, call.upstream(), Either
 				.left(new AttemptFailure(AttemptState.ABANDONED, Reason.QUEUE_FULL, "no thread is free", false))));
 		}
@@ -181,7 +181,7 @@
 		HttpCall.Builder post = HttpCall.post(this.protocol.path(this.service),
 				Json.bytes(this.protocol.request(this.data, this.service)));
 		Either<AttemptFailure, PipelineData> outcome = call.open(post, this.context.remainingMs())
-			.flatMap((stream) -> stream.readWhole().mapLeft(call::failure))
+			.flatMap((stream) -> stream.readFully().mapLeft(call::failure))
 			.flatMap((reply) -> Json.read(reply.text())
 				.flatMap((body) -> this.protocol.accept(this.data, body))
 				.mapLeft(AttemptFailure::error));
@@ -196,19 +196,19 @@
 	private void note(UpstreamCall call, Either<AttemptFailure, PipelineData> outcome, long millis) {
 		if (outcome.isRight()) {
 			this.tools.times().addCall(this.service, millis);
-			this.tools.routing().succeeded(this.service, call.upstream(), 1, millis);
+			this.tools.routing().onSuccess(this.service, call.upstream(), 1, millis);
 			return;
 		}
 		if (call.cancelled() && outcome.getLeft().state() == AttemptState.ABANDONED) {
 			// Another attempt was faster, or the deadline came: this one took at least so
 			// long.
-			this.tools.routing().tooSlow(this.service, call.upstream(), 1, millis);
+			this.tools.routing().onTimeout(this.service, call.upstream(), 1, millis);
 			return;
 		}
 		if (outcome.getLeft().message().equals(UpstreamCall.LEAVING)) {
-			this.tools.routing().leaving(call.upstream().id());
+			this.tools.routing().onDraining(call.upstream().id());
 		}
-		this.tools.routing().failed(call.upstream(), outcome.getLeft().blame(), outcome.getLeft().message());
+		this.tools.routing().onFailure(call.upstream(), outcome.getLeft().blame(), outcome.getLeft().message());
 	}
 
 	private void abandonAll(CostMeter.Use use) {
--- a/entry/src/main/java/org/tallycart/entry/stage/UpstreamCall.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/UpstreamCall.java
@@ -9,9 +9,9 @@
 import org.tallycart.core.outcome.Reason;
 import org.tallycart.http.HttpCall;
 import org.tallycart.http.HttpConnection;
+import org.tallycart.http.HttpConnectionPool;
 import org.tallycart.http.HttpFailure;
-import org.tallycart.http.HttpPool;
-import org.tallycart.http.HttpStream;
+import org.tallycart.http.StreamedReply;
 
 /**
  * One attempt's call at one upstream: connects, notes in the ledger that the attempt
@@ -37,13 +37,13 @@
 
 	private final int number;
 
-	private final HttpPool pool;
+	private final HttpConnectionPool pool;
 
 	private volatile boolean cancelled;
 
 	private volatile Optional<HttpConnection> connection = Optional.empty();
 
-	UpstreamCall(RequestContext context, Service service, Upstream upstream, int number, HttpPool pool) {
+	UpstreamCall(RequestContext context, Service service, Upstream upstream, int number, HttpConnectionPool pool) {
 		this.context = context;
 		this.service = service;
 		this.upstream = upstream;
@@ -57,7 +57,7 @@
 	 * @param timeoutMs how long to wait for bytes
 	 * @return the answer, of success and for this attempt, or why there is none
 	 */
-	Either<AttemptFailure, HttpStream> open(HttpCall.Builder call, long timeoutMs) {
+	Either<AttemptFailure, StreamedReply> open(HttpCall.Builder call, long timeoutMs) {
 		long connectMs = Math.min(CONNECT_TIMEOUT_MS, Math.max(timeoutMs, 1));
 		Either<HttpFailure, HttpConnection> leased = this.context.request().repeatable()
 				? this.pool.lease(this.upstream.address(), connectMs)
@@ -70,7 +70,7 @@
 			this.pool.release(leased.get());
 			return Either.left(AttemptFailure.notBegun("the attempt was given up before it began"));
 		}
-		Either<HttpFailure, HttpStream> opened = leased.get().open(withFields(call).build(), timeoutMs);
+		Either<HttpFailure, StreamedReply> opened = leased.get().callStreaming(withFields(call).build(), timeoutMs);
 		if (opened.isLeft()) {
 			return Either.left(failure(opened.getLeft()));
 		}
@@ -88,7 +88,7 @@
 		return this.context.request().id() + "/" + this.service.id() + "/" + this.number;
 	}
 
-	private Either<AttemptFailure, HttpStream> check(HttpStream answer) {
+	private Either<AttemptFailure, StreamedReply> check(StreamedReply answer) {
 		String answered = answer.field("X-Request-Id").orElse(attemptId());
 		if (!answered.equals(attemptId())) {
 			cancel();
--- a/entry/src/main/java/org/tallycart/entry/stage/Routing.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/UpstreamRouter.java
@@ -32,7 +32,7 @@
  *
  * @since 0.1
  */
-public final class Routing {
+public final class UpstreamRouter {
 
 	private static final double REPORT_HALF_LIFE_MS = 1_000;
 
@@ -44,7 +44,7 @@
 
 	private final Map<BalancerKind, Balancer> balancers = new EnumMap<>(BalancerKind.class);
 
-	private Routing(UpstreamTable table, EventLog events, Consumer<String> onLeaving) {
+	private UpstreamRouter(UpstreamTable table, EventLog events, Consumer<String> onLeaving) {
 		this.table = table;
 		this.events = events;
 		this.onLeaving = onLeaving;
@@ -62,8 +62,8 @@
 	 * @param onLeaving hears of an upstream that says it is leaving
 	 * @return the router
 	 */
-	public static Routing create(UpstreamTable table, EventLog events, Consumer<String> onLeaving) {
-		return new Routing(table, events, onLeaving);
+	public static UpstreamRouter create(UpstreamTable table, EventLog events, Consumer<String> onLeaving) {
+		return new UpstreamRouter(table, events, onLeaving);
 	}
 
 	/**
@@ -100,19 +100,19 @@
 		return scored;
 	}
 
-	void succeeded(Service service, Upstream upstream, double work, long millis) {
+	void onSuccess(Service service, Upstream upstream, double work, long millis) {
 		if (this.table.onSuccess(service.id(), upstream.id(), work, millis, Clocks.SYSTEM.monotonicMs())) {
 			this.events.emit(EventCode.UPSTREAM_EJECTED, upstream.id() + " is slower than its peers");
 		}
 	}
 
-	void tooSlow(Service service, Upstream upstream, double work, long millis) {
+	void onTimeout(Service service, Upstream upstream, double work, long millis) {
 		if (this.table.onTimeout(service.id(), upstream.id(), work, millis, Clocks.SYSTEM.monotonicMs())) {
 			this.events.emit(EventCode.UPSTREAM_EJECTED, upstream.id() + " is slower than its peers");
 		}
 	}
 
-	void failed(Upstream upstream, boolean blame, String why) {
+	void onFailure(Upstream upstream, boolean blame, String why) {
 		if (this.table.onFailure(upstream.id(), blame, Clocks.SYSTEM.monotonicMs())) {
 			this.events.emit(EventCode.UPSTREAM_EJECTED, upstream.id() + " " + why);
 		}
@@ -122,8 +122,8 @@
 	 * Take note that an upstream says it is leaving.
 	 * @param upstreamId the upstream
 	 */
-	public void leaving(String upstreamId) {
-		if (this.table.markLeaving(upstreamId)) {
+	public void onDraining(String upstreamId) {
+		if (this.table.markDraining(upstreamId)) {
 			this.events.emit(EventCode.UPSTREAM_LEAVING, upstreamId);
 			this.onLeaving.accept(upstreamId);
 		}
@@ -136,7 +136,7 @@
 	 * @param overcommit calls for each slot
 	 * @return the limit, at least 1
 	 */
-	int limit(Service service, int activeVms, double overcommit) {
+	int maxInFlight(Service service, int activeVms, double overcommit) {
 		return (int) Math.max(Math.ceil(this.table.totalSlots(service.id()) * overcommit / Math.max(activeVms, 1)), 1);
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/state/StewardLink.java
+++ b/entry/src/main/java/org/tallycart/entry/state/StewardClient.java
@@ -26,7 +26,7 @@
 import org.tallycart.policy.CelPolicyCompiler;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.runtime.event.EventLog;
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 import org.tallycart.wire.WireClient;
 import org.tallycart.wire.WireError;
 import org.tallycart.wire.WireListener;
@@ -47,7 +47,7 @@
  *
  * @since 0.1
  */
-public final class StewardLink implements AutoCloseable {
+public final class StewardClient implements AutoCloseable {
 
 	private static final long SHARE_TIMEOUT_MS = 1_000;
 
@@ -73,7 +73,7 @@
 
 	private volatile EntryState state = EntryState.EMPTY;
 
-	private StewardLink(WireTransport transport, Address address, EventLog events, Guard guard,
+	private StewardClient(WireTransport transport, Address address, EventLog events, TaskFailureHandler guard,
 			Consumer<EntryState> onState) {
 		this.events = events;
 		this.onState = onState;
@@ -82,14 +82,15 @@
 			@Override
 			public void onMessage(Envelope message) {
 				if (message.hasStateUpdate()) {
-					StewardLink.this.thread.execute(guard.wrap("state update", () -> adopt(message.getStateUpdate())));
+					StewardClient.this.thread
+						.execute(guard.wrap("state update", () -> adopt(message.getStateUpdate())));
 				}
 			}
 
 			@Override
 			public void onOpen() {
-				StewardLink.this.lost.set(false);
-				StewardLink.this.client().send(Envelope.newBuilder().setSubscribe(Subscribe.getDefaultInstance()));
+				StewardClient.this.lost.set(false);
+				StewardClient.this.client().send(Envelope.newBuilder().setSubscribe(Subscribe.getDefaultInstance()));
 			}
 		});
 	}
@@ -103,9 +104,9 @@
 	 * @param onState takes each new state
 	 * @return the link
 	 */
-	public static StewardLink create(WireTransport transport, Address address, EventLog events, Guard guard,
-			Consumer<EntryState> onState) {
-		return new StewardLink(transport, address, events, guard, onState);
+	public static StewardClient create(WireTransport transport, Address address, EventLog events,
+			TaskFailureHandler guard, Consumer<EntryState> onState) {
+		return new StewardClient(transport, address, events, guard, onState);
 	}
 
 	private WireClient client() {
@@ -115,8 +116,8 @@
 	/**
 	 * Connect again if the connection is lost. Called now and then.
 	 */
-	public void tick() {
-		if (!this.client.connected() && !this.lost.getAndSet(true)) {
+	public void ensureConnected() {
+		if (!this.client.isConnected() && !this.lost.getAndSet(true)) {
 			this.events.emit(EventCode.STEWARD_LOST, this.client.address().toString());
 		}
 		this.client.ensureConnected();
@@ -134,15 +135,15 @@
 	 * Return whether the steward is connected.
 	 * @return true if it is
 	 */
-	public boolean connected() {
-		return this.client.connected();
+	public boolean isConnected() {
+		return this.client.isConnected();
 	}
 
 	/**
 	 * Tell the steward of an upstream that said it is leaving.
 	 * @param upstreamId the upstream
 	 */
-	public void tellLeaving(String upstreamId) {
+	public void reportDraining(String upstreamId) {
 		this.client.send(Envelope.newBuilder().setLeavingNotice(LeavingNotice.newBuilder().addUpstreams(upstreamId)));
 	}
 
@@ -151,7 +152,7 @@
 	 * @param report this VM's demand
 	 * @return the answer to come
 	 */
-	public CompletableFuture<Either<WireError, Envelope>> askShares(ShareReport report) {
+	public CompletableFuture<Either<WireError, Envelope>> requestShares(ShareReport report) {
 		return this.client.call(Envelope.newBuilder().setShareReport(report), SHARE_TIMEOUT_MS);
 	}
 
--- a/http/src/main/java/org/tallycart/http/HttpListener.java
+++ b/http/src/main/java/org/tallycart/http/BlockingHttpServer.java
@@ -38,7 +38,7 @@
  *
  * @since 0.1
  */
-public final class HttpListener implements AutoCloseable {
+public final class BlockingHttpServer implements AutoCloseable {
 
 	private static final int BACKLOG = 1024;
 
@@ -56,11 +56,11 @@
 
 	private final ThreadPoolExecutor workers;
 
-	private final Set<OpenConnection> open = ConcurrentHashMap.newKeySet();
+	private final Set<ServerConnection> open = ConcurrentHashMap.newKeySet();
 
 	private volatile boolean draining;
 
-	private HttpListener(ServerSocket socket, String name, int maxConnections, HttpRequestHandler handler) {
+	private BlockingHttpServer(ServerSocket socket, String name, int maxConnections, HttpRequestHandler handler) {
 		this.socket = socket;
 		this.service = new HttpService(HttpProcessors.server(),
 				new BasicHttpServerExpectationDecorator(new BasicHttpServerRequestHandler(
@@ -82,13 +82,13 @@
 	 * @param handler answers requests
 	 * @return the listener, or why the address cannot be listened on
 	 */
-	public static Either<String, HttpListener> start(Address address, String name, int maxConnections,
+	public static Either<String, BlockingHttpServer> start(Address address, String name, int maxConnections,
 			HttpRequestHandler handler) {
 		try {
 			ServerSocket socket = new ServerSocket();
 			socket.setReuseAddress(true);
 			socket.bind(new InetSocketAddress(InetAddress.getByName(address.host()), address.port()), BACKLOG);
-			HttpListener listener = new HttpListener(socket, name, maxConnections, handler);
+			BlockingHttpServer listener = new BlockingHttpServer(socket, name, maxConnections, handler);
 			listener.workers.execute(listener::accept);
 			return Either.right(listener);
 		}
@@ -113,7 +113,7 @@
 	}
 
 	private void serve(Socket accepted) throws IOException {
-		OpenConnection connection = new OpenConnection(accepted);
+		ServerConnection connection = new ServerConnection(accepted);
 		this.open.add(connection);
 		try {
 			this.workers.execute(() -> run(connection));
@@ -125,12 +125,12 @@
 		}
 	}
 
-	private void run(OpenConnection connection) {
+	private void run(ServerConnection connection) {
 		try (DefaultBHttpServerConnection http = new DefaultBHttpServerConnection("http", Http1Config.DEFAULT)) {
 			http.bind(connection.socket());
 			while (http.isOpen() && !(this.draining && connection.served())) {
 				HttpCoreContext context = HttpCoreContext.create();
-				context.setAttribute(OpenConnection.ATTRIBUTE, connection);
+				context.setAttribute(ServerConnection.ATTRIBUTE, connection);
 				this.service.handleRequest(http, context);
 				connection.onAnswered();
 			}
@@ -146,7 +146,7 @@
 
 	private void handle(HttpRequestHandler handler, ClassicHttpRequest request, ClassicHttpResponse response,
 			HttpContext context) throws HttpException, IOException {
-		if (context.getAttribute(OpenConnection.ATTRIBUTE) instanceof OpenConnection connection) {
+		if (context.getAttribute(ServerConnection.ATTRIBUTE) instanceof ServerConnection connection) {
 			connection.onRequest();
 		}
 		handler.handle(request, response, context);
@@ -187,7 +187,7 @@
 		beginDrain();
 		closeSocket();
 		for (long waited = 0; waited < timeoutMs; waited += DRAIN_STEP_MS) {
-			this.open.forEach(OpenConnection::endIfIdle);
+			this.open.forEach(ServerConnection::endIfIdle);
 			if (this.open.isEmpty()) {
 				return true;
 			}
@@ -217,7 +217,7 @@
 	@Override
 	public void close() {
 		closeSocket();
-		this.open.forEach(OpenConnection::close);
+		this.open.forEach(ServerConnection::close);
 		this.workers.shutdownNow();
 	}
 
--- a/http/src/main/java/org/tallycart/http/HttpConnection.java
+++ b/http/src/main/java/org/tallycart/http/HttpConnection.java
@@ -87,7 +87,7 @@
 	 * @return the answer, or a failure that has begun
 	 */
 	public Either<HttpFailure, HttpReply> call(HttpCall call, long timeoutMs) {
-		return open(call, timeoutMs).flatMap(HttpStream::readWhole);
+		return callStreaming(call, timeoutMs).flatMap(StreamedReply::readFully);
 	}
 
 	/**
@@ -96,7 +96,7 @@
 	 * @param timeoutMs how long to wait for bytes
 	 * @return the answer, or a failure that has begun
 	 */
-	public Either<HttpFailure, HttpStream> open(HttpCall call, long timeoutMs) {
+	public Either<HttpFailure, StreamedReply> callStreaming(HttpCall call, long timeoutMs) {
 		try {
 			timeout(timeoutMs);
 			ClassicHttpRequest request = request(call);
@@ -110,7 +110,7 @@
 			}
 			InputStream body = (response.getEntity() != null) ? response.getEntity().getContent()
 					: InputStream.nullInputStream();
-			return Either.right(new HttpStream(this, response.getCode(), fields, body, keep));
+			return Either.right(new StreamedReply(this, response.getCode(), fields, body, keep));
 		}
 		catch (IOException | HttpException ex) {
 			return Either.left(fail(ex));
@@ -154,7 +154,7 @@
 	 * Return whether another call can be made on this connection.
 	 * @return true if it can, as far as is known
 	 */
-	public boolean reusable() {
+	public boolean isReusable() {
 		try {
 			return this.usable && !this.connection.isStale();
 		}
--- a/http/src/main/java/org/tallycart/http/HttpPool.java
+++ b/http/src/main/java/org/tallycart/http/HttpConnectionPool.java
@@ -17,13 +17,13 @@
  *
  * @since 0.1
  */
-public final class HttpPool implements AutoCloseable {
+public final class HttpConnectionPool implements AutoCloseable {
 
 	private final int idlePerAddress;
 
 	private final Map<Address, Deque<HttpConnection>> idle = new HashMap<>();
 
-	private HttpPool(int idlePerAddress) {
+	private HttpConnectionPool(int idlePerAddress) {
 		this.idlePerAddress = idlePerAddress;
 	}
 
@@ -32,8 +32,8 @@
 	 * @param idlePerAddress idle connections kept for one address, at most
 	 * @return the pool
 	 */
-	public static HttpPool create(int idlePerAddress) {
-		return new HttpPool(idlePerAddress);
+	public static HttpConnectionPool create(int idlePerAddress) {
+		return new HttpConnectionPool(idlePerAddress);
 	}
 
 	/**
@@ -45,7 +45,7 @@
 	public Either<HttpFailure, HttpConnection> lease(Address address, long timeoutMs) {
 		HttpConnection found = pop(address);
 		while (found != null) {
-			if (found.reusable()) {
+			if (found.isReusable()) {
 				return Either.right(found);
 			}
 			found.abort();
@@ -64,7 +64,7 @@
 	 * @param connection the connection
 	 */
 	public void release(HttpConnection connection) {
-		boolean kept = connection.reusable() && push(connection);
+		boolean kept = connection.isReusable() && push(connection);
 		if (!kept) {
 			connection.abort();
 		}
--- a/http/src/main/java/org/tallycart/http/HttpReply.java
+++ b/http/src/main/java/org/tallycart/http/HttpReply.java
@@ -38,7 +38,7 @@
 	 * Return whether the status is one of success.
 	 * @return true for 200 to 299
 	 */
-	public boolean ok() {
+	public boolean isSuccess() {
 		return this.status / 100 == 2;
 	}
 
--- a/http/src/main/java/org/tallycart/http/OpenConnection.java
+++ b/http/src/main/java/org/tallycart/http/ServerConnection.java
@@ -10,7 +10,7 @@
  *
  * @since 0.1
  */
-final class OpenConnection {
+final class ServerConnection {
 
 	/** Name under which a request's context holds its connection. */
 	static final String ATTRIBUTE = "tallycart.connection";
@@ -21,7 +21,7 @@
 
 	private volatile boolean busy;
 
-	OpenConnection(Socket socket) {
+	ServerConnection(Socket socket) {
 		this.socket = socket;
 	}
 
--- a/http/src/main/java/org/tallycart/http/HttpStream.java
+++ b/http/src/main/java/org/tallycart/http/StreamedReply.java
@@ -18,7 +18,7 @@
  *
  * @since 0.1
  */
-public final class HttpStream {
+public final class StreamedReply {
 
 	private final HttpConnection connection;
 
@@ -32,7 +32,7 @@
 
 	private @Nullable BufferedReader reader;
 
-	HttpStream(HttpConnection connection, int status, List<HttpField> fields, InputStream body, boolean keep) {
+	StreamedReply(HttpConnection connection, int status, List<HttpField> fields, InputStream body, boolean keep) {
 		this.connection = connection;
 		this.status = status;
 		this.fields = fields;
@@ -61,7 +61,7 @@
 	 * Read the body to its end.
 	 * @return the whole answer, or a failure
 	 */
-	public Either<HttpFailure, HttpReply> readWhole() {
+	public Either<HttpFailure, HttpReply> readFully() {
 		try {
 			byte[] bytes = this.body.readNBytes(this.connection.maxBody() + 1);
 			if (bytes.length > this.connection.maxBody()) {
--- a/http/src/main/java/org/tallycart/http/event/Call.java
+++ b/http/src/main/java/org/tallycart/http/event/Call.java
@@ -16,6 +16,6 @@
 	 * Stop or go on reading the reply.
 	 * @param paused whether to stop
 	 */
-	void pause(boolean paused);
+	void setPaused(boolean paused);
 
 }
--- a/http/src/main/java/org/tallycart/http/event/CallerConnection.java
+++ b/http/src/main/java/org/tallycart/http/event/CallerConnection.java
@@ -61,7 +61,7 @@
 
 	private ByteBuf body = Unpooled.EMPTY_BUFFER;
 
-	private @Nullable Exchange exchange;
+	private @Nullable ActiveResponder exchange;
 
 	private boolean closing;
 
@@ -88,7 +88,7 @@
 	public void channelInactive(ChannelHandlerContext context) {
 		this.registry.remove(this);
 		cancelTimer();
-		Exchange present = this.exchange;
+		ActiveResponder present = this.exchange;
 		this.exchange = null;
 		if (present != null) {
 			present.onGone();
@@ -174,7 +174,7 @@
 		byte[] bytes = new byte[this.body.readableBytes()];
 		this.body.readBytes(bytes);
 		this.body = Unpooled.EMPTY_BUFFER;
-		Exchange fresh = new Exchange(keepsAlive(request));
+		ActiveResponder fresh = new ActiveResponder(keepsAlive(request));
 		this.exchange = fresh;
 		this.handler.onRequest(request, bytes, fresh);
 	}
@@ -267,7 +267,7 @@
 	}
 
 	/** The answer to the request that is being handled. */
-	private final class Exchange implements Responder {
+	private final class ActiveResponder implements Responder {
 
 		private final boolean keepAlive;
 
@@ -277,7 +277,7 @@
 
 		private @Nullable BackpressureListener backpressure;
 
-		Exchange(boolean keepAlive) {
+		ActiveResponder(boolean keepAlive) {
 			this.keepAlive = keepAlive;
 		}
 
@@ -347,7 +347,7 @@
 		}
 
 		@Override
-		public void onCallerGone(Runnable action) {
+		public void onCallerDisconnected(Runnable action) {
 			this.gone = action;
 		}
 
--- a/http/src/main/java/org/tallycart/http/event/HttpExchange.java
+++ b/http/src/main/java/org/tallycart/http/event/ClientRequest.java
@@ -16,7 +16,7 @@
  * @param reuse whether a kept connection may carry it
  * @since 0.1
  */
-public record HttpExchange(String pool, Address address, HttpRequest head, byte[] body, int connectTimeoutMs,
+public record ClientRequest(String pool, Address address, HttpRequest head, byte[] body, int connectTimeoutMs,
 		boolean reuse) {
 
 	/**
@@ -26,7 +26,7 @@
 	 * @param head the request's head
 	 * @return a builder
 	 */
-	public static Builder to(String pool, Address address, HttpRequest head) {
+	public static Builder builder(String pool, Address address, HttpRequest head) {
 		return new Builder(pool, address, head);
 	}
 
@@ -79,7 +79,7 @@
 		 * Ask for a new connection.
 		 * @return this builder
 		 */
-		public Builder onNewConnection() {
+		public Builder requireNewConnection() {
 			this.reuse = false;
 			return this;
 		}
@@ -88,8 +88,8 @@
 		 * Build the call.
 		 * @return the call
 		 */
-		public HttpExchange build() {
-			return new HttpExchange(this.pool, this.address, this.head, this.body, this.connectTimeoutMs, this.reuse);
+		public ClientRequest build() {
+			return new ClientRequest(this.pool, this.address, this.head, this.body, this.connectTimeoutMs, this.reuse);
 		}
 
 	}
--- a/http/src/main/java/org/tallycart/http/event/WholeReply.java
+++ b/http/src/main/java/org/tallycart/http/event/FullReply.java
@@ -9,5 +9,5 @@
  * @param body its body
  * @since 0.1
  */
-public record WholeReply(HttpResponse head, byte[] body) {
+public record FullReply(HttpResponse head, byte[] body) {
 }
--- a/http/src/main/java/org/tallycart/http/event/WholeReplyCall.java
+++ b/http/src/main/java/org/tallycart/http/event/FullReplyCall.java
@@ -18,9 +18,9 @@
  *
  * @since 0.1
  */
-public final class WholeReplyCall implements ReplyListener, Call {
+public final class FullReplyCall implements ReplyListener, Call {
 
-	private final Consumer<Either<CallFailure, WholeReply>> consumer;
+	private final Consumer<Either<CallFailure, FullReply>> consumer;
 
 	private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
@@ -32,7 +32,7 @@
 
 	private boolean ended;
 
-	private WholeReplyCall(Consumer<Either<CallFailure, WholeReply>> consumer) {
+	private FullReplyCall(Consumer<Either<CallFailure, FullReply>> consumer) {
 		this.consumer = consumer;
 	}
 
@@ -45,9 +45,9 @@
 	 * @param consumer takes the outcome, on the event loop
 	 * @return the call in progress
 	 */
-	public static Call start(HttpClient client, ScheduledExecutorService loop, HttpExchange exchange, long timeoutMs,
-			Consumer<Either<CallFailure, WholeReply>> consumer) {
-		WholeReplyCall whole = new WholeReplyCall(consumer);
+	public static Call start(HttpClient client, ScheduledExecutorService loop, ClientRequest exchange, long timeoutMs,
+			Consumer<Either<CallFailure, FullReply>> consumer) {
+		FullReplyCall whole = new FullReplyCall(consumer);
 		whole.timeout = loop.schedule(whole::onTimeout, timeoutMs, TimeUnit.MILLISECONDS);
 		whole.call = client.call(exchange, whole);
 		return whole;
@@ -76,7 +76,7 @@
 	@Override
 	public void onEnd() {
 		if (this.head != null) {
-			finish(Either.right(new WholeReply(this.head, this.body.toByteArray())));
+			finish(Either.right(new FullReply(this.head, this.body.toByteArray())));
 		}
 	}
 
@@ -85,7 +85,7 @@
 		finish(Either.left(failure));
 	}
 
-	private void finish(Either<CallFailure, WholeReply> outcome) {
+	private void finish(Either<CallFailure, FullReply> outcome) {
 		if (this.ended) {
 			return;
 		}
@@ -111,9 +111,9 @@
 	}
 
 	@Override
-	public void pause(boolean paused) {
+	public void setPaused(boolean paused) {
 		if (this.call != null) {
-			this.call.pause(paused);
+			this.call.setPaused(paused);
 		}
 	}
 
--- a/http/src/main/java/org/tallycart/http/event/HttpClient.java
+++ b/http/src/main/java/org/tallycart/http/event/HttpClient.java
@@ -53,7 +53,7 @@
 	 * @param listener hears of the reply
 	 * @return the call in progress
 	 */
-	public Call call(HttpExchange exchange, ReplyListener listener) {
+	public Call call(ClientRequest exchange, ReplyListener listener) {
 		if (exchange.body().length > 0 || !"GET".equals(exchange.head().getMethod())) {
 			exchange.head().setHeader("Content-Length", String.valueOf(exchange.body().length));
 		}
@@ -91,7 +91,7 @@
 	 * @param timeoutMs how long to wait, in milliseconds
 	 * @param consumer takes the outcome, on the event loop
 	 */
-	public void probe(Address address, int timeoutMs, Consumer<Presence> consumer) {
+	public void probe(Address address, int timeoutMs, Consumer<ProbeResult> consumer) {
 		ChannelFuture future = new Bootstrap().group(this.group)
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
@@ -103,12 +103,12 @@
 		});
 	}
 
-	private static Presence presence(@Nullable Throwable failure) {
+	private static ProbeResult presence(@Nullable Throwable failure) {
 		if (failure == null) {
-			return Presence.ACCEPTS;
+			return ProbeResult.ACCEPTS;
 		}
 		boolean refused = failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
-		return refused ? Presence.REFUSES : Presence.SILENT;
+		return refused ? ProbeResult.REFUSES : ProbeResult.SILENT;
 	}
 
 	private static final class StartedCall implements Call {
@@ -130,7 +130,7 @@
 		}
 
 		@Override
-		public void pause(boolean paused) {
+		public void setPaused(boolean paused) {
 			if (this.connection.carries(this.listener)) {
 				this.connection.pause(paused);
 			}
@@ -141,7 +141,7 @@
 	/** A call that waits for its connection first. */
 	private final class ConnectingCall implements Call {
 
-		private final HttpExchange exchange;
+		private final ClientRequest exchange;
 
 		private final ReplyListener listener;
 
@@ -153,7 +153,7 @@
 
 		private boolean cancelled;
 
-		private ConnectingCall(HttpExchange exchange, ReplyListener listener, ConnectionPool pool) {
+		private ConnectingCall(ClientRequest exchange, ReplyListener listener, ConnectionPool pool) {
 			this.exchange = exchange;
 			this.listener = listener;
 			this.pool = pool;
@@ -199,9 +199,9 @@
 		}
 
 		@Override
-		public void pause(boolean paused) {
+		public void setPaused(boolean paused) {
 			if (this.started != null) {
-				this.started.pause(paused);
+				this.started.setPaused(paused);
 			}
 		}
 
--- a/http/src/main/java/org/tallycart/http/event/HttpServer.java
+++ b/http/src/main/java/org/tallycart/http/event/HttpServer.java
@@ -72,7 +72,7 @@
 	}
 
 	/** Close each connection with its next answer. */
-	public void drain() {
+	public void beginDrain() {
 		this.registry.drain();
 	}
 
--- a/http/src/main/java/org/tallycart/http/event/MessageReader.java
+++ b/http/src/main/java/org/tallycart/http/event/MessageReader.java
@@ -33,11 +33,11 @@
 
 	private final Sink<T> sink;
 
-	private final ReceivedBytes received = new ReceivedBytes();
+	private final ReceiveBuffer received = new ReceiveBuffer();
 
 	private final ByteBuffer part = ByteBuffer.allocate(PART_BYTES);
 
-	private final InboundEnd inboundEnd = new InboundEnd();
+	private final EndOfInputChannel inboundEnd = new EndOfInputChannel();
 
 	private @Nullable ContentDecoder body;
 
@@ -191,7 +191,7 @@
 	}
 
 	/** Tells decoders, which ask when the buffer is empty, whether more can come. */
-	private static final class InboundEnd implements ReadableByteChannel {
+	private static final class EndOfInputChannel implements ReadableByteChannel {
 
 		private boolean ended;
 
--- a/http/src/main/java/org/tallycart/http/event/Presence.java
+++ b/http/src/main/java/org/tallycart/http/event/ProbeResult.java
@@ -5,7 +5,7 @@
  *
  * @since 0.1
  */
-public enum Presence {
+public enum ProbeResult {
 
 	/** It accepts connections. */
 	ACCEPTS,
--- a/http/src/main/java/org/tallycart/http/event/ReceivedBytes.java
+++ b/http/src/main/java/org/tallycart/http/event/ReceiveBuffer.java
@@ -16,7 +16,7 @@
  * <p>
  * Not thread-safe: belongs to one event loop.
  */
-final class ReceivedBytes implements SessionInputBuffer {
+final class ReceiveBuffer implements SessionInputBuffer {
 
 	private static final int FIRST_CAPACITY = 1024;
 
--- a/http/src/main/java/org/tallycart/http/event/Responder.java
+++ b/http/src/main/java/org/tallycart/http/event/Responder.java
@@ -41,7 +41,7 @@
 	 * Register what to do when the caller is gone before the answer has ended.
 	 * @param action runs at most once
 	 */
-	void onCallerGone(Runnable action);
+	void onCallerDisconnected(Runnable action);
 
 	/**
 	 * Register what to do when the caller reads more slowly than parts are written, and
--- a/http/src/main/java/org/tallycart/http/event/UpstreamConnection.java
+++ b/http/src/main/java/org/tallycart/http/event/UpstreamConnection.java
@@ -58,7 +58,7 @@
 		this.context = context;
 	}
 
-	void start(HttpExchange exchange, ReplyListener replies) {
+	void start(ClientRequest exchange, ReplyListener replies) {
 		this.listener = replies;
 		this.skipping = false;
 		this.keepAlive = true;
--- a/http/src/test/java/org/tallycart/http/event/ConnectionTests.java
+++ b/http/src/test/java/org/tallycart/http/event/ConnectionTests.java
@@ -64,7 +64,7 @@
 	}
 
 	private HttpServer server() {
-		return HttpServer.start(this.group, new Address("127.0.0.1", 0), new Echo()).get();
+		return HttpServer.start(this.group, new Address("127.0.0.1", 0), new EchoHandler()).get();
 	}
 
 	private static Socket connect(int port) throws IOException {
@@ -152,7 +152,7 @@
 		try (Socket socket = connect(server.port())) {
 			write(socket, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
 			assertFalse(readUntil(socket, "/a ").contains("Connection: close"));
-			this.group.submit(server::drain).sync();
+			this.group.submit(server::beginDrain).sync();
 			write(socket, "GET /b HTTP/1.1\r\nHost: h\r\n\r\n");
 			assertTrue(readUntil(socket, "no such end").contains("Connection: close"));
 		}
@@ -190,13 +190,13 @@
 		return server.getLocalPort();
 	}
 
-	private String call(HttpClient client, int port, Consumer<HttpExchange.Builder> change) throws Exception {
+	private String call(HttpClient client, int port, Consumer<ClientRequest.Builder> change) throws Exception {
 		BlockingQueue<String> outcome = new LinkedBlockingQueue<>();
 		HttpRequest head = new BasicHttpRequest("GET", "/x");
 		head.setHeader("Host", "h");
-		HttpExchange.Builder exchange = HttpExchange.to("p", new Address("127.0.0.1", port), head);
+		ClientRequest.Builder exchange = ClientRequest.builder("p", new Address("127.0.0.1", port), head);
 		change.accept(exchange);
-		this.group.execute(() -> client.call(exchange.build(), new Recorder(outcome)));
+		this.group.execute(() -> client.call(exchange.build(), new RecordingListener(outcome)));
 		return outcome.poll(WAIT_MS, TimeUnit.MILLISECONDS);
 	}
 
@@ -230,20 +230,20 @@
 	void aPortTellsWhetherAProcessListensThere() throws Exception {
 		HttpServer server = server();
 		int port = server.port();
-		assertEquals(presence(port), Presence.ACCEPTS);
+		assertEquals(presence(port), ProbeResult.ACCEPTS);
 		this.group.submit(server::stopListening).sync();
 		// A port that closes just then may still accept, or reset what it had not
 		// accepted.
-		Presence after = presence(port);
-		for (int i = 0; after != Presence.REFUSES && i < WAIT_MS; i += 10) {
+		ProbeResult after = presence(port);
+		for (int i = 0; after != ProbeResult.REFUSES && i < WAIT_MS; i += 10) {
 			Thread.sleep(10);
 			after = presence(port);
 		}
-		assertEquals(after, Presence.REFUSES);
+		assertEquals(after, ProbeResult.REFUSES);
 	}
 
-	private Presence presence(int port) throws InterruptedException {
-		BlockingQueue<Presence> found = new LinkedBlockingQueue<>();
+	private ProbeResult presence(int port) throws InterruptedException {
+		BlockingQueue<ProbeResult> found = new LinkedBlockingQueue<>();
 		client().probe(new Address("127.0.0.1", port), WAIT_MS, found::add);
 		return found.poll(WAIT_MS, TimeUnit.MILLISECONDS);
 	}
@@ -273,23 +273,23 @@
 	void aCallThatIsNotAnsweredInTimeHasOneOutcome() throws Exception {
 		int port = upstream(List.of(""), (count) -> {
 		});
-		BlockingQueue<Either<CallFailure, WholeReply>> outcomes = new LinkedBlockingQueue<>();
+		BlockingQueue<Either<CallFailure, FullReply>> outcomes = new LinkedBlockingQueue<>();
 		HttpRequest head = new BasicHttpRequest("GET", "/x");
 		HttpClient client = client();
-		this.group.execute(() -> WholeReplyCall.start(client, this.group.next(),
-				HttpExchange.to("p", new Address("127.0.0.1", port), head).build(), 100, outcomes::add));
+		this.group.execute(() -> FullReplyCall.start(client, this.group.next(),
+				ClientRequest.builder("p", new Address("127.0.0.1", port), head).build(), 100, outcomes::add));
 		assertTrue(outcomes.poll(WAIT_MS, TimeUnit.MILLISECONDS).isLeft());
 		assertTrue(outcomes.isEmpty());
 	}
 
 	/** Answers each request by its path and body; holds the answer to /held for ever. */
-	private final class Echo implements RequestHandler {
+	private final class EchoHandler implements RequestHandler {
 
 		@Override
 		public void onRequest(HttpRequest head, byte[] body, Responder responder) {
 			String text = head.getPath() + " " + new String(body, StandardCharsets.UTF_8);
 			ConnectionTests.this.handled.add(text);
-			responder.onCallerGone(() -> ConnectionTests.this.handled.add("gone"));
+			responder.onCallerDisconnected(() -> ConnectionTests.this.handled.add("gone"));
 			if (!"/held".equals(head.getPath())) {
 				responder.send(new BasicHttpResponse(200), text.getBytes(StandardCharsets.UTF_8));
 			}
@@ -308,13 +308,13 @@
 	}
 
 	/** Records a reply as one line of text; skips replies marked as foreign. */
-	private static final class Recorder implements ReplyListener {
+	private static final class RecordingListener implements ReplyListener {
 
 		private final BlockingQueue<String> outcome;
 
 		private final StringBuilder text = new StringBuilder();
 
-		private Recorder(BlockingQueue<String> outcome) {
+		private RecordingListener(BlockingQueue<String> outcome) {
 			this.outcome = outcome;
 		}
 
--- a/integration-tests/src/test/java/org/tallycart/integration/AbstractFleetTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/AbstractFleetTests.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-import org.tallycart.testbed.FleetShape;
+import org.tallycart.testbed.FleetDefinition;
 import org.tallycart.testbed.LocalFleet;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
@@ -18,7 +18,7 @@
 	 * Return the shape of the fleet that the tests need.
 	 * @return the shape
 	 */
-	abstract FleetShape shape();
+	abstract FleetDefinition shape();
 
 	LocalFleet fleet() {
 		return this.fleet;
--- a/integration-tests/src/test/java/org/tallycart/integration/AnswerIntegrityTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/AnswerIntegrityTests.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.tallycart.load.LoadReport;
+import org.tallycart.load.LoadTestReport;
 import org.tallycart.standin.FaultProxy;
-import org.tallycart.testbed.FleetShape;
+import org.tallycart.testbed.Await;
+import org.tallycart.testbed.FleetDefinition;
 import org.tallycart.testbed.ProcessHttp;
-import org.tallycart.testbed.Waiting;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -23,13 +23,13 @@
 	private static final String NO_FAULT = "{\"truncate_percent\":0,\"foreign_percent\":0,\"fail_percent\":0,\"slow_factor\":1}";
 
 	@Override
-	FleetShape shape() {
-		return FleetShape.bogota(2).withUpstreamProxies();
+	FleetDefinition shape() {
+		return FleetDefinition.bogota(2).withUpstreamProxies();
 	}
 
 	@AfterMethod
 	void mend() {
-		fleet().upstreamFault((id) -> true, NO_FAULT);
+		fleet().setUpstreamFault((id) -> true, NO_FAULT);
 	}
 
 	@DataProvider
@@ -41,36 +41,37 @@
 
 	@Test(dataProvider = "faults")
 	void noAnswerIsShortOrAnothers(String prefix, String fault, double leastWhole) {
-		fleet().upstreamFault((id) -> id.startsWith(prefix), fault);
-		LoadReport report = LoadBehind.start(fleet(), 30, 3_000, LoadBehind.questions(), LoadBehind.wholeQuestions())
+		fleet().setUpstreamFault((id) -> id.startsWith(prefix), fault);
+		LoadTestReport report = BackgroundLoad
+			.start(fleet(), 30, 3_000, BackgroundLoad.questions(), BackgroundLoad.wholeQuestions())
 			.await();
 		assertEquals(report.violations(), List.of());
-		assertEquals(report.count("NONE"), 0, report.text());
-		assertTrue(report.count("COMPLETE") >= leastWhole * report.total(), report.text());
+		assertEquals(report.countByOutcome("NONE"), 0, report.toText());
+		assertTrue(report.countByOutcome("COMPLETE") >= leastWhole * report.requestCount(), report.toText());
 	}
 
 	@Test
 	void connectionsThatAreCutInMidStreamLoseAndRepeatNothing() {
-		LoadBehind load = LoadBehind.start(fleet(), 30, 4_000, LoadBehind.questions());
+		BackgroundLoad load = BackgroundLoad.start(fleet(), 30, 4_000, BackgroundLoad.questions());
 		for (int i = 0; i < 12; i++) {
-			Waiting.pause(250);
-			fleet().proxy("generate-" + (1 + i % 8)).cut();
+			Await.sleep(250);
+			fleet().proxy("generate-" + (1 + i % 8)).closeConnections();
 		}
-		LoadReport report = load.await();
+		LoadTestReport report = load.await();
 		assertEquals(report.violations(), List.of());
-		assertTrue(report.count("COMPLETE") >= 0.8 * report.total(), report.text());
+		assertTrue(report.countByOutcome("COMPLETE") >= 0.8 * report.requestCount(), report.toText());
 		assertTrue(events("STREAM_RESUMED") > 0, "some stream was resumed elsewhere");
 	}
 
 	@Test
 	void anUpstreamThatAcceptsAndNeverAnswersCostsFewRequests() {
 		FaultProxy proxy = fleet().proxy("encode-2");
-		proxy.towardsCaller().drop(true);
-		LoadReport report = LoadBehind.start(fleet(), 30, 4_000, LoadBehind.wholeQuestions()).await();
-		proxy.towardsCaller().drop(false);
-		proxy.cut();
+		proxy.towardsCaller().setDropping(true);
+		LoadTestReport report = BackgroundLoad.start(fleet(), 30, 4_000, BackgroundLoad.wholeQuestions()).await();
+		proxy.towardsCaller().setDropping(false);
+		proxy.closeConnections();
 		assertEquals(report.violations(), List.of());
-		assertTrue(report.count("COMPLETE") >= 0.9 * report.total(), report.text());
+		assertTrue(report.countByOutcome("COMPLETE") >= 0.9 * report.requestCount(), report.toText());
 	}
 
 	private long events(String name) {
--- a/integration-tests/src/test/java/org/tallycart/integration/ConfigurationTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/ConfigurationTests.java
@@ -11,9 +11,9 @@
 import org.tallycart.core.ini.Address;
 import org.tallycart.ctl.TallyctlMain;
 import org.tallycart.runtime.process.ExitCode;
-import org.tallycart.testbed.FleetShape;
+import org.tallycart.testbed.Await;
+import org.tallycart.testbed.FleetDefinition;
 import org.tallycart.testbed.ProcessHttp;
-import org.tallycart.testbed.Waiting;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -28,8 +28,8 @@
 	private static final long SECONDS_MS = 11_000;
 
 	@Override
-	FleetShape shape() {
-		return FleetShape.bogota(3).withPlatformProxies();
+	FleetDefinition shape() {
+		return FleetDefinition.bogota(3).withPlatformProxies();
 	}
 
 	private Path checkout(String extra) throws IOException {
@@ -40,7 +40,7 @@
 	}
 
 	private int apply(Path directory, String author) {
-		return TallyctlMain.execute("apply", "--platform", fleet().platform().toString(), "--author", author,
+		return TallyctlMain.execute("apply", "--platform", fleet().platformAddress().toString(), "--author", author,
 				directory.toString());
 	}
 
@@ -56,7 +56,7 @@
 
 	private long awaitInForce(long version) {
 		long beganMs = System.currentTimeMillis();
-		Waiting.until("version " + version + " is in force in every entry", SECONDS_MS, () -> {
+		Await.until("version " + version + " is in force in every entry", SECONDS_MS, () -> {
 			boolean all = true;
 			for (int i = 0; i < fleet().size(); i++) {
 				all &= status(i, "entry").path("config_version").asLong() >= version;
@@ -67,7 +67,7 @@
 	}
 
 	private void awaitEveryStewardAt(long version) {
-		Waiting.until("every steward is at version " + version, SECONDS_MS, () -> {
+		Await.until("every steward is at version " + version, SECONDS_MS, () -> {
 			boolean all = true;
 			for (int i = 0; i < fleet().size(); i++) {
 				all &= status(i, "steward").path("config_version").asLong() >= version;
@@ -108,16 +108,16 @@
 	}
 
 	private long headVersionAfterApply() {
-		Waiting.pause(1_500);
+		Await.sleep(1_500);
 		return headVersion();
 	}
 
 	@Test
 	void aLostAnswerIsResolvedToAccepted() throws IOException {
 		long before = headVersionAfterApply();
-		fleet().platformFault("{\"lose_answers\":4}");
+		fleet().setPlatformFault("{\"lose_answers\":4}");
 		assertEquals(apply(checkout("\n[workspace lost-answer]\n"), "ana"), ExitCode.OK);
-		fleet().platformFault("{\"lose_answers\":0}");
+		fleet().setPlatformFault("{\"lose_answers\":0}");
 		awaitInForce(before + 1);
 	}
 
@@ -137,7 +137,7 @@
 	@Test(priority = 1)
 	void duringAnOutageNothingIsAcceptedAndNothingReverts() throws IOException {
 		long before = headVersionAfterApply();
-		fleet().platformFault("{\"outage\":true}");
+		fleet().setPlatformFault("{\"outage\":true}");
 		assertEquals(apply(checkout("\n[workspace outage]\n"), "ana"), ExitCode.FAILED);
 		fleet().vm(2).steward().kill();
 		fleet().vm(2).entry().kill();
@@ -146,16 +146,16 @@
 		awaitEveryStewardAt(before);
 		assertEquals(status(2, "entry").path("config_version").asLong(), before,
 				"a new VM in an outage asks its peers");
-		fleet().platformFault("{\"outage\":false}");
+		fleet().setPlatformFault("{\"outage\":false}");
 	}
 
 	@Test(priority = 1)
 	void aFrozenStewardThatWakesCatchesUp() throws IOException {
 		long before = headVersionAfterApply();
-		fleet().vm(1).steward().freeze();
+		fleet().vm(1).steward().suspend();
 		assertEquals(apply(checkout("\n[workspace frozen]\n"), "ana"), ExitCode.OK);
-		Waiting.pause(2_000);
-		fleet().vm(1).steward().wake();
+		Await.sleep(2_000);
+		fleet().vm(1).steward().resume();
 		long millis = awaitInForce(before + 1);
 		System.out.println("in force at the woken VM after " + millis + " ms");
 	}
@@ -163,23 +163,23 @@
 	@Test(priority = 2)
 	void aPlatformThatServesOldReadsRevertsNothing() {
 		long before = headVersionAfterApply();
-		fleet().platformFault("{\"old_reads\":true}");
+		fleet().setPlatformFault("{\"old_reads\":true}");
 		for (int i = 0; i < 5; i++) {
-			Waiting.pause(300);
+			Await.sleep(300);
 			assertTrue(headVersion() >= before);
 		}
-		fleet().platformFault("{\"old_reads\":false}");
+		fleet().setPlatformFault("{\"old_reads\":false}");
 	}
 
 	@Test(priority = 3)
 	void aVmCutOffFromThePlatformHearsFromItsPeers() throws IOException {
 		long before = headVersionAfterApply();
-		fleet().proxy("platform-vm-3").refuse(true);
-		fleet().proxy("platform-vm-3").cut();
+		fleet().proxy("platform-vm-3").setRefusing(true);
+		fleet().proxy("platform-vm-3").closeConnections();
 		assertEquals(apply(checkout("\n[workspace cut-off]\n"), "ana"), ExitCode.OK);
 		long millis = awaitInForce(before + 1);
 		System.out.println("in force at the VM cut off after " + millis + " ms");
-		fleet().proxy("platform-vm-3").refuse(false);
+		fleet().proxy("platform-vm-3").setRefusing(false);
 	}
 
 }
--- a/integration-tests/src/test/java/org/tallycart/integration/WholePathTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/EndToEndTests.java
@@ -13,12 +13,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.uuid.Generators;
 import org.tallycart.core.ini.Address;
-import org.tallycart.load.CallerAnswer;
 import org.tallycart.load.CallerClient;
+import org.tallycart.load.ReceivedResponse;
 import org.tallycart.load.Submission;
-import org.tallycart.testbed.FleetShape;
+import org.tallycart.testbed.Await;
+import org.tallycart.testbed.FleetDefinition;
 import org.tallycart.testbed.ProcessHttp;
-import org.tallycart.testbed.Waiting;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -28,20 +28,20 @@
 /**
  * Tests of the whole path with real processes.
  */
-public class WholePathTests extends AbstractFleetTests {
+public class EndToEndTests extends AbstractFleetTests {
 
 	private static final int REQUESTS = 200;
 
 	@Override
-	FleetShape shape() {
-		return FleetShape.bogota(3);
+	FleetDefinition shape() {
+		return FleetDefinition.bogota(3);
 	}
 
 	private static Submission request(int number) {
 		String marker = "mixed" + number;
 		return switch (number % 4) {
 			case 0 -> Submission.builder("dispatch", "suba-express", marker)
-				.key(Generators.timeBasedEpochGenerator().generate().toString())
+				.idempotencyKey(Generators.timeBasedEpochGenerator().generate().toString())
 				.build();
 			case 1 -> Submission.builder("assistant", "chapinero-norte", marker).maxTokens(1 + number % 9).build();
 			default -> Submission.builder("assistant", "fontibon-plaza", marker)
@@ -54,16 +54,16 @@
 	@Test
 	void everyOfManyConcurrentRequestsGetsItsOwnWholeAnswer() throws InterruptedException, ExecutionException {
 		ExecutorService callers = Executors.newFixedThreadPool(REQUESTS);
-		List<Address> entries = fleet().entries();
-		List<Future<CallerAnswer>> answers = new ArrayList<>();
+		List<Address> entries = fleet().entryAddresses();
+		List<Future<ReceivedResponse>> answers = new ArrayList<>();
 		for (int i = 0; i < REQUESTS; i++) {
 			int number = i;
 			answers
 				.add(callers.submit(() -> CallerClient.submit(entries.get(number % entries.size()), request(number))));
 		}
-		for (Future<CallerAnswer> future : answers) {
-			CallerAnswer answer = future.get();
-			assertTrue(answer.whole(), answer.toString());
+		for (Future<ReceivedResponse> future : answers) {
+			ReceivedResponse answer = future.get();
+			assertTrue(answer.isComplete(), answer.toString());
 		}
 		callers.shutdown();
 		assertTrue(callers.awaitTermination(10, TimeUnit.SECONDS));
@@ -73,11 +73,11 @@
 	void anEntryServesOnWhenItsStewardIsDead() throws IOException {
 		fleet().vm(2).steward().kill();
 		Address entry = fleet().vm(2).entry().address("callers");
-		CallerAnswer answer = CallerClient.submit(entry,
+		ReceivedResponse answer = CallerClient.submit(entry,
 				Submission.builder("assistant", "kennedy-central", "alone").build());
-		assertTrue(answer.whole(), answer.toString());
+		assertTrue(answer.isComplete(), answer.toString());
 		fleet().restartSteward(2);
-		Waiting.until("the restarted steward owns slots again", 20_000,
+		Await.until("the restarted steward owns slots again", 20_000,
 				() -> ProcessHttp.get(fleet().vm(2).steward().address("status"), "/status")
 					.path("open_slots")
 					.asInt() > 0);
@@ -88,19 +88,20 @@
 		return new Object[][] { { Submission.builder("nothing", "suba-express", "a").build(), "NOT_DECLARED" },
 				{ Submission.builder("assistant", "nobody", "a").build(), "NOT_DECLARED" },
 				{ Submission.builder("assistant", "suba-express", "a").maxTokens(-1).build(), "BAD_REQUEST" },
-				{ Submission.builder("dispatch", "suba-express", "a").key("not-a-key").build(), "BAD_REQUEST" } };
+				{ Submission.builder("dispatch", "suba-express", "a").idempotencyKey("not-a-key").build(),
+						"BAD_REQUEST" } };
 	}
 
 	@Test(dataProvider = "wrongRequests")
 	void aWrongRequestIsNotRunAndToldWhy(Submission submission, String reason) {
-		CallerAnswer answer = CallerClient.submit(fleet().entries().get(0), submission);
+		ReceivedResponse answer = CallerClient.submit(fleet().entryAddresses().get(0), submission);
 		assertEquals(answer.outcome(), "NOT_RUN");
 		assertEquals(answer.reason(), reason);
 	}
 
 	@Test
 	void theTimeLineHoldsEachStageOfARequest() {
-		CallerAnswer answer = CallerClient.submit(fleet().entries().get(1),
+		ReceivedResponse answer = CallerClient.submit(fleet().entryAddresses().get(1),
 				Submission.builder("assistant", "kennedy-central", "traced").build());
 		JsonNode events = ProcessHttp.get(fleet().vm(1).entry().address("status"),
 				"/events?request=" + answer.requestId());
@@ -113,10 +114,10 @@
 
 	@Test
 	void theTimeLineOfAConfirmationSpansEntryAndSlotOwnerInOrder() {
-		CallerAnswer answer = CallerClient.submit(fleet().entries().get(0), request(0));
-		assertTrue(answer.whole(), answer.toString());
+		ReceivedResponse answer = CallerClient.submit(fleet().entryAddresses().get(0), request(0));
+		assertTrue(answer.isComplete(), answer.toString());
 		List<JsonNode> events = new ArrayList<>();
-		for (String port : fleet().statusPorts().split(",")) {
+		for (String port : fleet().statusAddresses().split(",")) {
 			ProcessHttp.get(Address.parse(port).get(), "/events?request=" + answer.requestId()).forEach(events::add);
 		}
 		events.sort(Comparator.comparingLong((JsonNode event) -> event.path("ms").asLong())
--- a/integration-tests/src/test/java/org/tallycart/integration/GracefulStopTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/GracefulStopTests.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.tallycart.load.LoadReport;
-import org.tallycart.testbed.FleetShape;
+import org.tallycart.load.LoadTestReport;
+import org.tallycart.testbed.Await;
+import org.tallycart.testbed.FleetDefinition;
 import org.tallycart.testbed.ProcessHttp;
-import org.tallycart.testbed.Waiting;
 import org.testng.annotations.Test;
 
 import static org.testng.Assert.assertEquals;
@@ -19,33 +19,34 @@
 public class GracefulStopTests extends AbstractFleetTests {
 
 	@Override
-	FleetShape shape() {
-		return FleetShape.bogota(3);
+	FleetDefinition shape() {
+		return FleetDefinition.bogota(3);
 	}
 
 	@Test
 	void aRollingRestartOfEveryVmBreaksNoRequest() throws IOException {
-		LoadBehind load = LoadBehind.start(fleet(), 40, 20_000, LoadBehind.questions(), LoadBehind.wholeQuestions(),
-				LoadBehind.confirmations());
-		Waiting.pause(1_000);
+		BackgroundLoad load = BackgroundLoad.start(fleet(), 40, 20_000, BackgroundLoad.questions(),
+				BackgroundLoad.wholeQuestions(), BackgroundLoad.confirmations());
+		Await.sleep(1_000);
 		for (int i = 0; i < fleet().size(); i++) {
 			fleet().vm(i).entry().requestStop();
 			awaitUnready(i);
-			fleet().vm(i).balancer(false);
-			assertTrue(fleet().vm(i).entry().awaitEnd(), "the entry ends in time");
+			fleet().vm(i).setInBalancer(false);
+			assertTrue(fleet().vm(i).entry().awaitExit(), "the entry ends in time");
 			assertTrue(fleet().vm(i).steward().stop(), "the steward ends in time");
 			fleet().restartSteward(i);
 			fleet().restartEntry(i);
 		}
-		LoadReport report = load.await();
-		System.out.println("rolling restart: " + report.total() + " requests, COMPLETE " + report.count("COMPLETE"));
-		assertEquals(report.count("COMPLETE"), report.total(), report.text());
+		LoadTestReport report = load.await();
+		System.out.println("rolling restart: " + report.requestCount() + " requests, COMPLETE "
+				+ report.countByOutcome("COMPLETE"));
+		assertEquals(report.countByOutcome("COMPLETE"), report.requestCount(), report.toText());
 		assertEquals(report.violationCount(), 0);
 		assertEquals(takenOver(), 0, "slots are handed over, not taken over");
 	}
 
 	private void awaitUnready(int number) {
-		Waiting.until("readiness falls first", 5_000,
+		Await.until("readiness falls first", 5_000,
 				() -> !ProcessHttp.get(fleet().vm(number).entry().address("status"), "/readyz")
 					.path("ready")
 					.asBoolean());
--- a/integration-tests/src/test/java/org/tallycart/integration/LeavingUpstreamTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/LeavingUpstreamTests.java
@@ -1,9 +1,9 @@
 package org.tallycart.integration;
 
 import org.tallycart.core.membership.VmState;
-import org.tallycart.load.LoadReport;
-import org.tallycart.testbed.FleetShape;
-import org.tallycart.testbed.Waiting;
+import org.tallycart.load.LoadTestReport;
+import org.tallycart.testbed.Await;
+import org.tallycart.testbed.FleetDefinition;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -18,8 +18,8 @@
 	private static final long A_FEW_SECONDS_MS = 5_000;
 
 	@Override
-	FleetShape shape() {
-		return FleetShape.bogota(3);
+	FleetDefinition shape() {
+		return FleetDefinition.bogota(3);
 	}
 
 	@DataProvider
@@ -30,22 +30,22 @@
 
 	@Test(dataProvider = "paths")
 	void noNewWorkArrivesAfterAFewSeconds(String upstream, String path) {
-		LoadBehind load = LoadBehind.start(fleet(), 40, 8_000, LoadBehind.questions());
-		Waiting.pause(1_000);
+		BackgroundLoad load = BackgroundLoad.start(fleet(), 40, 8_000, BackgroundLoad.questions());
+		Await.sleep(1_000);
 		long leftMs = System.currentTimeMillis();
 		if (path.equals("answer")) {
-			fleet().upstreamFault(upstream::equals, "{\"leaving\":true}");
+			fleet().setUpstreamFault(upstream::equals, "{\"leaving\":true}");
 		}
 		else {
 			String lag = path.equals("list") ? "0" : "1500";
-			fleet().platformFault("{\"vm_list_lag_ms\":{\"vm-1\":" + lag + ",\"vm-2\":" + lag + "}}");
-			fleet().upstreamState(upstream, VmState.LEAVING);
+			fleet().setPlatformFault("{\"vm_list_lag_ms\":{\"vm-1\":" + lag + ",\"vm-2\":" + lag + "}}");
+			fleet().setUpstreamState(upstream, VmState.LEAVING);
 		}
-		LoadReport report = load.await();
-		long lastMs = fleet().runs(upstream).path("last_new_work_ms").asLong() - leftMs;
+		LoadTestReport report = load.await();
+		long lastMs = fleet().runCounts(upstream).path("last_new_work_ms").asLong() - leftMs;
 		System.out.println("leaving by " + path + ": last new work " + lastMs + " ms after the leave began");
 		assertTrue(lastMs < A_FEW_SECONDS_MS, "last new work after " + lastMs + " ms");
-		assertTrue(report.count("COMPLETE") == report.total(), report.text());
+		assertTrue(report.countByOutcome("COMPLETE") == report.requestCount(), report.toText());
 	}
 
 }
--- a/integration-tests/src/test/java/org/tallycart/integration/soak/SoakFaults.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/soak/SoakFaults.java
@@ -110,7 +110,7 @@
 			case 4 -> harm("path of " + upstream, this.fleet.upstreamPath(upstream));
 			case 5, 6 -> harm("a path between VMs", pick(this.fleet.peerPaths()));
 			case 7, 8, 9 -> misbehave(upstream);
-			case 10 -> this.fleet.upstreamPath(upstream).cut();
+			case 10 -> this.fleet.upstreamPath(upstream).closeConnections();
 			case 11 -> storeOutage();
 			case 12 -> lapse(upstream);
 			case 13 -> {
@@ -128,9 +128,9 @@
 		String upstream = ids.get(this.limits.nextInt(ids.size()));
 		int perSecond = 1 + this.limits.nextInt(MAX_LIMIT);
 		this.violations.note(upstream + " names a limit of " + perSecond);
-		this.fleet.upstream(upstream).nameLimit(String.valueOf(perSecond));
+		this.fleet.upstream(upstream).stateLimit(String.valueOf(perSecond));
 		undoAfter(LEAST_LENGTH_MS + this.limits.nextInt(MAX_LENGTH_MS),
-				() -> this.fleet.upstream(upstream).liftLimit());
+				() -> this.fleet.upstream(upstream).clearLimit());
 	}
 
 	private void restOrLeave() {
@@ -143,8 +143,8 @@
 			return;
 		}
 		this.violations.note(upstream + " asks for rest");
-		this.fleet.upstream(upstream).askForRest(String.valueOf(ms / 1_000.0));
-		undoAfter(ms, () -> this.fleet.upstream(upstream).endRest());
+		this.fleet.upstream(upstream).startBackoff(String.valueOf(ms / 1_000.0));
+		undoAfter(ms, () -> this.fleet.upstream(upstream).endBackoff());
 	}
 
 	// What operators and upstreams wrote comes again a while after the store's return.
@@ -154,11 +154,11 @@
 		}
 		this.returning = true;
 		this.violations.note("a copy of the store is kept");
-		this.fleet.store().keepCopy();
+		this.fleet.store().saveBackup();
 		int after = LEAST_LENGTH_MS + this.limits.nextInt(MAX_LENGTH_MS);
 		undoAfter(after, () -> {
 			this.violations.note("the store comes back from it");
-			this.fleet.store().comeBackFromCopy();
+			this.fleet.store().restoreBackup();
 		});
 		undoAfter(after + LEAST_REWRITE_MS + this.limits.nextInt(MAX_REWRITE_MS), () -> {
 			this.fleet.writeAgain();
@@ -166,11 +166,11 @@
 		});
 	}
 
-	private void undoLater(Undo undo) {
+	private void undoLater(UndoAction undo) {
 		undoAfter(LEAST_LENGTH_MS + this.random.nextInt(MAX_LENGTH_MS), undo);
 	}
 
-	private void undoAfter(int after, Undo undo) {
+	private void undoAfter(int after, UndoAction undo) {
 		this.undone.add(this.undoing.schedule(() -> {
 			undo.run();
 			return null;
@@ -186,8 +186,8 @@
 	private void freeze(SoakNode node) {
 		ManagedProcess process = node.process();
 		this.violations.note("freeze " + node.incarnation());
-		process.freeze();
-		undoLater(process::wake);
+		process.suspend();
+		undoLater(process::resume);
 	}
 
 	private void stop(SoakNode node) {
@@ -195,7 +195,7 @@
 		this.violations.note("stop " + node.incarnation());
 		process.requestStop();
 		undoLater(() -> {
-			process.awaitEnd();
+			process.awaitExit();
 			node.restart();
 		});
 	}
@@ -205,24 +205,24 @@
 		int how = this.random.nextInt(5);
 		this.violations.note("harm " + how + " to " + name);
 		switch (how) {
-			case 0 -> path.cut();
+			case 0 -> path.closeConnections();
 			case 1 -> {
-				path.cut();
-				path.refuse(true);
+				path.closeConnections();
+				path.setRefusing(true);
 			}
-			case 2 -> direction.delay(this.random.nextInt(MAX_DELAY_MS));
-			case 3 -> direction.freeze(true);
-			default -> direction.drop(true);
+			case 2 -> direction.setDelayMs(this.random.nextInt(MAX_DELAY_MS));
+			case 3 -> direction.setFrozen(true);
+			default -> direction.setDropping(true);
 		}
 		undoLater(() -> {
 			// Bytes that were dropped never come, so the connection cannot go on.
 			if (how >= 3) {
-				path.cut();
+				path.closeConnections();
 			}
-			path.refuse(false);
-			direction.delay(0);
-			direction.freeze(false);
-			direction.drop(false);
+			path.setRefusing(false);
+			direction.setDelayMs(0);
+			direction.setFrozen(false);
+			direction.setDropping(false);
 		});
 	}
 
@@ -237,13 +237,13 @@
 		boolean silent = this.random.nextBoolean();
 		this.violations.note("store " + (silent ? "silent" : "down"));
 		if (silent) {
-			this.fleet.store().setMute(true);
+			this.fleet.store().setUnresponsive(true);
 		}
 		else {
 			this.fleet.store().setDown(true);
 		}
 		undoLater(() -> {
-			this.fleet.store().setMute(false);
+			this.fleet.store().setUnresponsive(false);
 			this.fleet.store().setDown(false);
 		});
 	}
@@ -268,7 +268,7 @@
 
 	/** Undoes a fault. */
 	@FunctionalInterface
-	private interface Undo {
+	private interface UndoAction {
 
 		void run() throws IOException;
 
--- a/integration-tests/src/test/java/org/tallycart/integration/soak/SoakFleet.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/soak/SoakFleet.java
@@ -115,7 +115,7 @@
 		UpstreamStandin upstream = UpstreamStandin.start(id, this.group);
 		FaultProxy path = FaultProxy.start(upstream.address());
 		upstream.advertise(path.address());
-		upstream.setWork(WORK_MS);
+		upstream.setWorkMs(WORK_MS);
 		upstream.crashOn(CRASHING, () -> replace(id, service));
 		this.upstreams.put(id, upstream);
 		this.upstreamPaths.put(id, path);
@@ -146,7 +146,7 @@
 	 */
 	void leave(String id, long afterMs) {
 		this.leaving.add(id);
-		upstream(id).sayLeaving("1");
+		upstream(id).stateDraining("1");
 		this.back.schedule(() -> {
 			if (!lives(id)) {
 				return null;
@@ -237,7 +237,7 @@
 	}
 
 	int runs(String request) {
-		return this.upstreams.values().stream().mapToInt((upstream) -> upstream.runs(request)).sum();
+		return this.upstreams.values().stream().mapToInt((upstream) -> upstream.runCount(request)).sum();
 	}
 
 	@Override
--- a/integration-tests/src/test/java/org/tallycart/integration/soak/SoakNode.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/soak/SoakNode.java
@@ -114,7 +114,7 @@
 	}
 
 	synchronized void restart() throws IOException {
-		if (!this.process.alive()) {
+		if (!this.process.isAlive()) {
 			this.process = launch();
 		}
 	}
--- a/integration-tests/src/test/java/org/tallycart/integration/soak/SoakTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/soak/SoakTests.java
@@ -140,7 +140,7 @@
 	// though one ends and starts again.
 	private static void checkLimit(SoakFleet fleet, String service, Violations violations) throws IOException {
 		String id = first(fleet, service);
-		fleet.upstream(id).nameLimit(String.valueOf(LIMIT));
+		fleet.upstream(id).stateLimit(String.valueOf(LIMIT));
 		long fromMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) + CALM_MS;
 		SoakCallers.pause(CALM_MS);
 		SoakNode node = fleet.nodes().get(0);
@@ -148,8 +148,8 @@
 		SoakCallers.pause(LIMIT_SPAN_MS / 4);
 		node.restart();
 		SoakCallers.pause(LIMIT_SPAN_MS * 3 / 4);
-		fleet.upstream(id).liftLimit();
-		int most = fleet.upstream(id).mostArrivals(LIMIT_SPAN_MS, fromMs);
+		fleet.upstream(id).clearLimit();
+		int most = fleet.upstream(id).maxArrivals(LIMIT_SPAN_MS, fromMs);
 		if (most > 1.5 * LIMIT * LIMIT_SPAN_MS / 1_000 + 5) {
 			violations
 				.add(id + " named a limit of " + LIMIT + " a second and got " + most + " in " + LIMIT_SPAN_MS + " ms");
@@ -160,14 +160,14 @@
 	// asked for.
 	private static void checkRest(SoakFleet fleet, SoakCallers callers, Violations violations) {
 		List<String> ids = Stream.of("plain", "engine").map((service) -> first(fleet, service)).toList();
-		ids.forEach((id) -> fleet.upstream(id).askForRest(String.valueOf(REST_MS / 1_000)));
+		ids.forEach((id) -> fleet.upstream(id).startBackoff(String.valueOf(REST_MS / 1_000)));
 		for (SoakNode node : fleet.nodes()) {
 			callers.served(node, "/plain/x", CALLS, "rest-plain" + node.vm() + "-");
 			callers.served(node, "/stream/x", CALLS, "rest-stream" + node.vm() + "-");
 		}
 		SoakCallers.pause(REST_KEPT_FROM_MS);
 		Map<String, Integer> within = arrivals(fleet, ids, REST_WATCHED_MS);
-		ids.forEach((id) -> fleet.upstream(id).endRest());
+		ids.forEach((id) -> fleet.upstream(id).endBackoff());
 		within.forEach((id, count) -> {
 			if (count > 2 * fleet.nodes().size()) {
 				violations.add(id + " had asked for rest and got " + count + " in " + REST_WATCHED_MS + " ms");
@@ -248,10 +248,10 @@
 	// A version that was in force stays so when the store comes back from a copy without
 	// it, also before the operator has written it again.
 	private static void checkReturn(SoakFleet fleet, SoakCallers callers, Violations violations) {
-		fleet.store().keepCopy();
+		fleet.store().saveBackup();
 		int version = fleet.changeConfig();
 		SoakCallers.pause(APPLY_MS);
-		fleet.store().comeBackFromCopy();
+		fleet.store().restoreBackup();
 		for (int round = 0; round < 2; round++) {
 			SoakCallers.pause(APPLY_MS / 2);
 			for (SoakNode node : fleet.nodes()) {
@@ -269,9 +269,9 @@
 		String leaving = first(fleet, "plain");
 		fleet.list(leaving, "draining");
 		SoakCallers.pause(DRAIN_MS);
-		Map<String, Integer> before = fleet.upstream(leaving).allRuns();
+		Map<String, Integer> before = fleet.upstream(leaving).runCounts();
 		fleet.nodes().forEach((node) -> callers.served(node, "/plain/x", CALLS, "leaving" + node.vm() + "-"));
-		Map<String, Integer> after = fleet.upstream(leaving).allRuns();
+		Map<String, Integer> after = fleet.upstream(leaving).runCounts();
 		after.keySet().removeAll(before.keySet());
 		if (!after.isEmpty()) {
 			violations.add(leaving + " got " + after.size() + " requests after it was leaving for " + DRAIN_MS + " ms");
--- a/load/src/main/java/org/tallycart/load/CallerClient.java
+++ b/load/src/main/java/org/tallycart/load/CallerClient.java
@@ -14,7 +14,7 @@
 import org.tallycart.http.HttpCall;
 import org.tallycart.http.HttpConnection;
 import org.tallycart.http.HttpFailure;
-import org.tallycart.http.HttpStream;
+import org.tallycart.http.StreamedReply;
 
 /**
  * Submits requests as a caller would and checks that each answer is whole and its own.
@@ -44,7 +44,7 @@
 	 * @param submission the request
 	 * @return what came of it
 	 */
-	public static CallerAnswer submit(Address entry, Submission submission) {
+	public static ReceivedResponse submit(Address entry, Submission submission) {
 		long beganNs = System.nanoTime();
 		Either<HttpFailure, HttpConnection> connection = HttpConnection.connect(entry, CONNECT_TIMEOUT_MS);
 		if (connection.isLeft()) {
@@ -52,7 +52,7 @@
 		}
 		try (HttpConnection open = connection.get()) {
 			long patience = submission.deadlineMs() + GRACE_MS;
-			Either<HttpFailure, HttpStream> answer = open.open(call(submission), patience);
+			Either<HttpFailure, StreamedReply> answer = open.callStreaming(call(submission), patience);
 			if (answer.isLeft()) {
 				return none(answer.getLeft(), beganNs);
 			}
@@ -78,32 +78,32 @@
 		if (!submission.label().isEmpty()) {
 			call.field("Tallycart-Label", submission.label());
 		}
-		if (!submission.key().isEmpty()) {
+		if (!submission.idempotencyKey().isEmpty()) {
 			call.field("Tallycart-Repeatable", "false")
-				.field("Idempotency-Key", submission.key())
-				.field("Tallycart-First-Submission", String.valueOf(submission.first()));
+				.field("Idempotency-Key", submission.idempotencyKey())
+				.field("Tallycart-First-Submission", String.valueOf(submission.isFirstSubmission()));
 		}
 		return call.build();
 	}
 
-	private static CallerAnswer none(HttpFailure failure, long beganNs) {
-		return new CallerAnswer(CallerAnswer.NONE, failure.kind().name(), "", "", 0, -1, millisSince(beganNs), Map.of(),
-				"");
+	private static ReceivedResponse none(HttpFailure failure, long beganNs) {
+		return new ReceivedResponse(ReceivedResponse.NONE, failure.kind().name(), "", "", 0, -1, millisSince(beganNs),
+				Map.of(), "");
 	}
 
 	private static long millisSince(long beganNs) {
 		return (System.nanoTime() - beganNs) / 1_000_000;
 	}
 
-	private static CallerAnswer whole(HttpStream answer, Submission submission, long beganNs) {
-		return answer.readWhole()
+	private static ReceivedResponse whole(StreamedReply answer, Submission submission, long beganNs) {
+		return answer.readFully()
 			.fold((failure) -> none(failure, beganNs), (reply) -> read(reply.text()).map((node) -> {
 				long millis = millisSince(beganNs);
 				return answer(node, node.path("output").asText(), submission, millis, millis);
 			}).orElseGet(() -> none(new HttpFailure(HttpFailure.Kind.BROKEN, true, "not JSON"), beganNs)));
 	}
 
-	private static CallerAnswer stream(HttpStream answer, Submission submission, long beganNs) {
+	private static ReceivedResponse stream(StreamedReply answer, Submission submission, long beganNs) {
 		StringBuilder text = new StringBuilder();
 		long firstMs = -1;
 		boolean end = false;
@@ -139,12 +139,13 @@
 		}
 	}
 
-	private static CallerAnswer answer(JsonNode end, String output, Submission submission, long firstMs, long totalMs) {
+	private static ReceivedResponse answer(JsonNode end, String output, Submission submission, long firstMs,
+			long totalMs) {
 		Map<String, Double> cost = new TreeMap<>();
 		end.path("cost").properties().forEach((entry) -> cost.put(entry.getKey(), entry.getValue().asDouble()));
-		String outcome = end.path("outcome").asText(CallerAnswer.NONE);
+		String outcome = end.path("outcome").asText(ReceivedResponse.NONE);
 		String violation = outcome.equals("COMPLETE") ? violation(end, output, submission) : "";
-		return new CallerAnswer(outcome, end.path("reason").asText(), output, end.path("request_id").asText(),
+		return new ReceivedResponse(outcome, end.path("reason").asText(), output, end.path("request_id").asText(),
 				end.path("retry_after_ms").asLong(), firstMs, totalMs, cost, violation);
 	}
 
@@ -162,7 +163,7 @@
 	}
 
 	private static String expected(Submission submission) {
-		if (!submission.key().isEmpty()) {
+		if (!submission.idempotencyKey().isEmpty()) {
 			return "done " + submission.marker();
 		}
 		StringBuilder text = new StringBuilder();
--- a/load/src/main/java/org/tallycart/load/LoadRun.java
+++ b/load/src/main/java/org/tallycart/load/LoadGenerator.java
@@ -20,7 +20,7 @@
  *
  * @since 0.1
  */
-public final class LoadRun {
+public final class LoadGenerator {
 
 	private static final double MILLIS = 1_000;
 
@@ -34,13 +34,13 @@
 
 	private final Supplier<List<Address>> entries;
 
-	private final LoadReport report = new LoadReport();
+	private final LoadTestReport report = new LoadTestReport();
 
 	private final AtomicInteger pending = new AtomicInteger();
 
 	private final String runId;
 
-	private LoadRun(Scenario scenario, Supplier<List<Address>> entries) {
+	private LoadGenerator(Scenario scenario, Supplier<List<Address>> entries) {
 		this.scenario = scenario;
 		this.entries = entries;
 		this.runId = Long.toString(Generators.timeBasedEpochGenerator().generate().getMostSignificantBits() >>> 16, 36);
@@ -52,11 +52,11 @@
 	 * @param entries where requests may go now, as a balancer would know
 	 * @return what came of it
 	 */
-	public static LoadReport run(Scenario scenario, Supplier<List<Address>> entries) {
-		return new LoadRun(scenario, entries).run();
+	public static LoadTestReport run(Scenario scenario, Supplier<List<Address>> entries) {
+		return new LoadGenerator(scenario, entries).run();
 	}
 
-	private LoadReport run() {
+	private LoadTestReport run() {
 		ExecutorService threads = Executors.newCachedThreadPool((task) -> {
 			Thread thread = new Thread(task, "caller");
 			thread.setDaemon(true);
@@ -98,10 +98,10 @@
 		}
 	}
 
-	private Scenario.Kind pick(Random random) {
-		double total = this.scenario.mix().stream().mapToDouble(Scenario.Kind::weight).sum();
+	private Scenario.RequestKind pick(Random random) {
+		double total = this.scenario.mix().stream().mapToDouble(Scenario.RequestKind::weight).sum();
 		double point = random.nextDouble() * total;
-		for (Scenario.Kind kind : this.scenario.mix()) {
+		for (Scenario.RequestKind kind : this.scenario.mix()) {
 			point -= kind.weight();
 			if (point < 0) {
 				return kind;
@@ -111,7 +111,7 @@
 	}
 
 	private void submit(Arrival arrival, long dueNs) {
-		Scenario.Kind kind = arrival.kind;
+		Scenario.RequestKind kind = arrival.kind;
 		Random random = new Random(arrival.seed);
 		int tokens = kind.minTokens() + random.nextInt(kind.maxTokens() - kind.minTokens() + 1);
 		String workspace = kind.workspaces().get(random.nextInt(kind.workspaces().size()));
@@ -122,17 +122,19 @@
 			.maxTokens(tokens)
 			.stream(kind.stream());
 		if (!kind.repeatable()) {
-			builder.key(newKey());
+			builder.idempotencyKey(newKey());
 		}
 		if (kind.sessions() > 0) {
 			builder.prefix(
 					"Session " + random.nextInt(kind.sessions()) + " of the long common part of all its questions. ");
 		}
 		Submission submission = builder.build();
-		CallerAnswer answer = reach(submission, random);
-		for (int i = 0; i < this.scenario.resubmissions() && !submission.key().isEmpty() && unsettled(answer); i++) {
+		ReceivedResponse answer = reach(submission, random);
+		for (int i = 0; i < this.scenario.resubmissions() && !submission.idempotencyKey().isEmpty()
+				&& unsettled(answer); i++) {
 			pause(answer.retryAfterMs(), random);
-			submission = answer.outcome().equals("NOT_RUN") ? submission.withNewKey(newKey()) : submission.again();
+			submission = answer.outcome().equals("NOT_RUN") ? submission.withNewKey(newKey())
+					: submission.resubmission();
 			answer = reach(submission, random);
 		}
 		this.report.add(kind, workspace, submission, answer, (System.nanoTime() - dueNs) / 1_000_000);
@@ -142,7 +144,7 @@
 		return Generators.timeBasedEpochGenerator().generate().toString();
 	}
 
-	private static boolean unsettled(CallerAnswer answer) {
+	private static boolean unsettled(ReceivedResponse answer) {
 		return !answer.outcome().equals("COMPLETE") && !answer.outcome().equals("FAILED");
 	}
 
@@ -151,8 +153,9 @@
 				+ TimeUnit.MILLISECONDS.toNanos(Math.min(wantedMs, LONGEST_PAUSE_MS) + random.nextInt(100)));
 	}
 
-	private CallerAnswer reach(Submission submission, Random random) {
-		CallerAnswer answer = new CallerAnswer(CallerAnswer.NONE, "CONNECT", "", "", 0, -1, 0, java.util.Map.of(), "");
+	private ReceivedResponse reach(Submission submission, Random random) {
+		ReceivedResponse answer = new ReceivedResponse(ReceivedResponse.NONE, "CONNECT", "", "", 0, -1, 0,
+				java.util.Map.of(), "");
 		for (int i = 0; i < CONNECT_TRIES && answer.reason().equals("CONNECT"); i++) {
 			List<Address> known = this.entries.get();
 			if (!known.isEmpty()) {
@@ -175,7 +178,7 @@
 		}
 	}
 
-	private record Arrival(long atMs, int number, Scenario.Kind kind, long seed) {
+	private record Arrival(long atMs, int number, Scenario.RequestKind kind, long seed) {
 	}
 
 }
--- a/load/src/main/java/org/tallycart/load/LoadMain.java
+++ b/load/src/main/java/org/tallycart/load/LoadMain.java
@@ -73,10 +73,10 @@
 			System.out.println(file + ": the scenario is good");
 			return ExitCode.OK;
 		}
-		LoadReport report = LoadRun.run(read.get(), () -> addresses);
-		System.out.print(report.text());
+		LoadTestReport report = LoadGenerator.run(read.get(), () -> addresses);
+		System.out.print(report.toText());
 		if (this.json != null) {
-			Files.writeString(this.json, report.json().toPrettyString());
+			Files.writeString(this.json, report.toJson().toPrettyString());
 		}
 		return (report.violationCount() > 0) ? ExitCode.FAILED : ExitCode.OK;
 	}
--- a/load/src/main/java/org/tallycart/load/LoadReport.java
+++ b/load/src/main/java/org/tallycart/load/LoadTestReport.java
@@ -16,7 +16,7 @@
  *
  * @since 0.1
  */
-public final class LoadReport {
+public final class LoadTestReport {
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -24,11 +24,11 @@
 
 	private static final int VIOLATIONS_KEPT = 20;
 
-	private final Map<String, Part> kinds = new TreeMap<>();
+	private final Map<String, RequestStats> kinds = new TreeMap<>();
 
-	private final Map<String, Part> workspaces = new TreeMap<>();
+	private final Map<String, RequestStats> workspaces = new TreeMap<>();
 
-	private final Part all = new Part();
+	private final RequestStats all = new RequestStats();
 
 	private final Map<String, Double> cost = new TreeMap<>();
 
@@ -42,14 +42,15 @@
 
 	private long durationMs;
 
-	synchronized void add(Scenario.Kind kind, String workspace, Submission submission, CallerAnswer answer,
+	synchronized void add(Scenario.RequestKind kind, String workspace, Submission submission, ReceivedResponse answer,
 			long sinceDueMs) {
-		boolean attained = answer.whole() && sinceDueMs <= kind.deadlineMs();
-		List<Part> parts = List.of(this.all, this.kinds.computeIfAbsent(kind.name(), (name) -> new Part()),
-				this.workspaces.computeIfAbsent(workspace, (name) -> new Part()));
+		boolean attained = answer.isComplete() && sinceDueMs <= kind.deadlineMs();
+		List<RequestStats> parts = List.of(this.all,
+				this.kinds.computeIfAbsent(kind.name(), (name) -> new RequestStats()),
+				this.workspaces.computeIfAbsent(workspace, (name) -> new RequestStats()));
 		parts.forEach((part) -> part.add(answer, attained, sinceDueMs));
 		answer.cost().forEach((name, amount) -> this.cost.merge(name, amount, Double::sum));
-		if (!submission.key().isEmpty()) {
+		if (!submission.idempotencyKey().isEmpty()) {
 			this.markers.put(submission.marker(), answer.outcome());
 		}
 		if (!answer.violation().isEmpty()) {
@@ -106,7 +107,7 @@
 	 * @return from 0 to 1
 	 */
 	public synchronized double attainment(String kind) {
-		return this.kinds.getOrDefault(kind, new Part()).attainment();
+		return this.kinds.getOrDefault(kind, new RequestStats()).attainment();
 	}
 
 	/**
@@ -115,7 +116,7 @@
 	 * @return from 0 to 1
 	 */
 	public synchronized double workspaceAttainment(String workspace) {
-		return this.workspaces.getOrDefault(workspace, new Part()).attainment();
+		return this.workspaces.getOrDefault(workspace, new RequestStats()).attainment();
 	}
 
 	/**
@@ -123,7 +124,7 @@
 	 * @param outcome the outcome
 	 * @return the number
 	 */
-	public synchronized long count(String outcome) {
+	public synchronized long countByOutcome(String outcome) {
 		return this.all.outcomes.entrySet()
 			.stream()
 			.filter((entry) -> entry.getKey().startsWith(outcome))
@@ -135,7 +136,7 @@
 	 * Return how many requests were submitted.
 	 * @return the number
 	 */
-	public synchronized long total() {
+	public synchronized long requestCount() {
 		return this.all.total;
 	}
 
@@ -156,7 +157,7 @@
 	 * Return whole answers within their deadline a second.
 	 * @return the goodput
 	 */
-	public synchronized double goodput() {
+	public synchronized double goodputPerSecond() {
 		return this.all.attained * 1000.0 / Math.max(this.durationMs, 1);
 	}
 
@@ -165,7 +166,7 @@
 	 * @param percentile from 0 to 100
 	 * @return milliseconds
 	 */
-	public synchronized long totalMs(double percentile) {
+	public synchronized long latencyPercentileMs(double percentile) {
 		return this.all.totalMs.getValueAtPercentile(percentile);
 	}
 
@@ -173,7 +174,7 @@
 	 * Write the report as JSON.
 	 * @return the tree
 	 */
-	public synchronized ObjectNode json() {
+	public synchronized ObjectNode toJson() {
 		ObjectNode root = JSON.createObjectNode();
 		root.set("all", this.all.json());
 		ObjectNode byKind = root.putObject("kinds");
@@ -182,7 +183,7 @@
 		this.workspaces.forEach((name, part) -> byWorkspace.set(name, part.json()));
 		ObjectNode costs = root.putObject("cost");
 		this.cost.forEach(costs::put);
-		root.put("goodput_per_second", goodput());
+		root.put("goodput_per_second", goodputPerSecond());
 		root.put("violations", this.violationCount).put("unfinished", this.unfinished);
 		return root;
 	}
@@ -191,7 +192,7 @@
 	 * Write the report as text.
 	 * @return the text
 	 */
-	public synchronized String text() {
+	public synchronized String toText() {
 		StringBuilder text = new StringBuilder();
 		text.append(String.format("%-22s %7s %10s %9s %9s %9s %9s  %s%n", "", "total", "attainment", "first p50",
 				"first p95", "total p50", "total p99", "outcomes"));
@@ -200,14 +201,14 @@
 		this.workspaces.forEach((name, part) -> part.line("  in " + name, text));
 		text.append(String.format("cost by stage:%n"));
 		this.cost.forEach((name, amount) -> text.append(String.format("  %-32s %12.1f%n", name, amount)));
-		text.append(String.format("goodput %.1f/s, wrong or foreign answers %d, unfinished %d%n", goodput(),
+		text.append(String.format("goodput %.1f/s, wrong or foreign answers %d, unfinished %d%n", goodputPerSecond(),
 				this.violationCount, this.unfinished));
 		this.violations.forEach((violation) -> text.append("  VIOLATION ").append(violation).append('\n'));
 		return text.toString();
 	}
 
 	/** The figures of some of the requests. Guarded by the report. */
-	private static final class Part {
+	private static final class RequestStats {
 
 		private final Histogram firstMs = new Histogram(DIGITS);
 
@@ -219,13 +220,13 @@
 
 		private long attained;
 
-		private void add(CallerAnswer answer, boolean inTime, long sinceDueMs) {
+		private void add(ReceivedResponse answer, boolean inTime, long sinceDueMs) {
 			this.total++;
 			this.attained += inTime ? 1 : 0;
 			String outcome = answer.outcome().equals("COMPLETE") ? answer.outcome()
 					: answer.outcome() + "/" + answer.reason();
 			this.outcomes.merge(outcome, 1L, Long::sum);
-			if (answer.whole()) {
+			if (answer.isComplete()) {
 				this.totalMs.recordValue(sinceDueMs);
 				this.firstMs.recordValue(Math.max(answer.firstTokenMs() + sinceDueMs - answer.totalMs(), 0));
 			}
--- a/load/src/main/java/org/tallycart/load/CallerAnswer.java
+++ b/load/src/main/java/org/tallycart/load/ReceivedResponse.java
@@ -17,7 +17,7 @@
  * is
  * @since 0.1
  */
-public record CallerAnswer(String outcome, String reason, String output, String requestId, long retryAfterMs,
+public record ReceivedResponse(String outcome, String reason, String output, String requestId, long retryAfterMs,
 		long firstTokenMs, long totalMs, Map<String, Double> cost, String violation) {
 
 	/** No end of an answer came. */
@@ -27,7 +27,7 @@
 	 * Return whether the whole answer came.
 	 * @return true for COMPLETE without a violation
 	 */
-	public boolean whole() {
+	public boolean isComplete() {
 		return this.outcome.equals("COMPLETE") && this.violation.isEmpty();
 	}
 
--- a/load/src/main/java/org/tallycart/load/Scenario.java
+++ b/load/src/main/java/org/tallycart/load/Scenario.java
@@ -23,7 +23,7 @@
  * @since 0.1
  */
 public record Scenario(double ratePerSecond, long durationMs, long seed, long burstAtMs, long burstMs,
-		double burstFactor, int resubmissions, List<Kind> mix) {
+		double burstFactor, int resubmissions, List<RequestKind> mix) {
 
 	private static final long HOUR_MS = 3_600_000;
 
@@ -37,7 +37,7 @@
 	 */
 	public static Either<List<Problem>, Scenario> read(String file, String text) {
 		List<Problem> problems = new ArrayList<>();
-		List<Kind> mix = new ArrayList<>();
+		List<RequestKind> mix = new ArrayList<>();
 		Scenario scenario = new Scenario(10, 10_000, 1, 0, 0, 1, 3, mix);
 		for (IniSection section : IniParser.read(file, text, problems)) {
 			SectionReader reader = SectionReader.of(section, problems);
@@ -60,16 +60,16 @@
 		return problems.isEmpty() ? Either.right(scenario) : Either.left(problems);
 	}
 
-	private static Scenario load(SectionReader reader, List<Kind> mix) {
+	private static Scenario load(SectionReader reader, List<RequestKind> mix) {
 		return new Scenario(reader.decimal("rate-per-second", 10, 0.01, MAX_RATE),
 				reader.durationMs("duration", 10_000, 1, HOUR_MS), reader.number("seed", 1, 0, Long.MAX_VALUE),
 				reader.durationMs("burst-at", 0, 0, HOUR_MS), reader.durationMs("burst-duration", 0, 0, HOUR_MS),
 				reader.decimal("burst-factor", 1, 1, 100), (int) reader.number("resubmissions", 3, 0, 100), mix);
 	}
 
-	private static Kind kind(String name, SectionReader reader) {
+	private static RequestKind kind(String name, SectionReader reader) {
 		int most = (int) reader.number("max-tokens", 16, 1, 32_768);
-		return new Kind(name, reader.decimal("weight", 1, 0, MAX_RATE), reader.text("pipeline"),
+		return new RequestKind(name, reader.decimal("weight", 1, 0, MAX_RATE), reader.text("pipeline"),
 				reader.list("workspaces"), reader.text("label", ""), reader.durationMs("deadline", 11_000, 1, HOUR_MS),
 				(int) reader.number("min-tokens", most, 1, most), most, reader.flag("stream", false),
 				reader.flag("repeatable", true), (int) reader.number("sessions", 0, 0, 100_000));
@@ -110,7 +110,7 @@
 	 * @param repeatable whether it may be repeated
 	 * @param sessions how many question prefixes its requests share; 0 for none
 	 */
-	public record Kind(String name, double weight, String pipeline, List<String> workspaces, String label,
+	public record RequestKind(String name, double weight, String pipeline, List<String> workspaces, String label,
 			long deadlineMs, int minTokens, int maxTokens, boolean stream, boolean repeatable, int sessions) {
 	}
 
--- a/load/src/main/java/org/tallycart/load/Submission.java
+++ b/load/src/main/java/org/tallycart/load/Submission.java
@@ -85,11 +85,11 @@
 	 * Return the idempotency key.
 	 * @return the key; empty if the request may be repeated
 	 */
-	public String key() {
+	public String idempotencyKey() {
 		return this.key;
 	}
 
-	boolean first() {
+	boolean isFirstSubmission() {
 		return this.first;
 	}
 
@@ -101,8 +101,8 @@
 	 * Return the same request as a later submission of its key.
 	 * @return the copy
 	 */
-	public Submission again() {
-		return copy().key(this.key).first(false).build();
+	public Submission resubmission() {
+		return copy().idempotencyKey(this.key).firstSubmission(false).build();
 	}
 
 	private Builder copy() {
@@ -119,7 +119,7 @@
 	 * @return the copy
 	 */
 	public Submission withNewKey(String newKey) {
-		return copy().key(newKey).first(true).build();
+		return copy().idempotencyKey(newKey).firstSubmission(true).build();
 	}
 
 	/** Builds a submission. Not thread-safe. */
@@ -196,7 +196,7 @@
 		 * @param value the key
 		 * @return this builder
 		 */
-		public Builder key(String value) {
+		public Builder idempotencyKey(String value) {
 			this.key = value;
 			return this;
 		}
@@ -206,7 +206,7 @@
 		 * @param value true if it is
 		 * @return this builder
 		 */
-		public Builder first(boolean value) {
+		public Builder firstSubmission(boolean value) {
 			this.first = value;
 			return this;
 		}
--- a/node/src/main/java/org/tallycart/node/EventLoop.java
+++ b/node/src/main/java/org/tallycart/node/EventLoop.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 
 /**
  * The event loop to which all state of the process is confined, and its monotonic clock.
@@ -20,7 +20,7 @@
 
 	private final ScheduledExecutorService executor;
 
-	private final Guard guard;
+	private final TaskFailureHandler guard;
 
 	private final LongSupplier clock;
 
@@ -29,7 +29,7 @@
 	 * @param executor the single-threaded executor
 	 * @param guard handles exceptions of tasks: a periodic task that fails runs again
 	 */
-	public EventLoop(ScheduledExecutorService executor, Guard guard) {
+	public EventLoop(ScheduledExecutorService executor, TaskFailureHandler guard) {
 		this(executor, guard, EventLoop::monotonicMs);
 	}
 
@@ -39,7 +39,7 @@
 	 * @param guard handles exceptions of tasks: a periodic task that fails runs again
 	 * @param clock the monotonic clock of the executor, in milliseconds
 	 */
-	public EventLoop(ScheduledExecutorService executor, Guard guard, LongSupplier clock) {
+	public EventLoop(ScheduledExecutorService executor, TaskFailureHandler guard, LongSupplier clock) {
 		this.executor = executor;
 		this.guard = guard;
 		this.clock = clock;
--- a/node/src/main/java/org/tallycart/node/Node.java
+++ b/node/src/main/java/org/tallycart/node/Node.java
@@ -45,7 +45,7 @@
 import org.tallycart.platform.store.QuarantineRecords;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.runtime.process.Clocks;
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 import org.tallycart.wire.WireIdentity;
 import org.tallycart.wire.WireTransport;
 
@@ -80,7 +80,7 @@
 
 	private final NodeLog log = new NodeLog(EventLoop::monotonicMs);
 
-	private final EventLoop loop = new EventLoop(this.group.next(), Guard.install(this::onFailure));
+	private final EventLoop loop = new EventLoop(this.group.next(), TaskFailureHandler.install(this::onFailure));
 
 	private final CountDownLatch stopped = new CountDownLatch(1);
 
@@ -201,7 +201,7 @@
 	}
 
 	private void updateWatchedRoles() {
-		List<LeaderRole> roles = new ArrayList<>(this.pieces.duties());
+		List<LeaderRole> roles = new ArrayList<>(this.pieces.watchedRoles());
 		roles.addAll(this.store.watchedRoles());
 		roles.addAll(this.statements.watchedRoles());
 		this.mesh.setWatchedRoles(roles);
@@ -326,7 +326,7 @@
 		this.readiness.checkReadiness();
 		this.mesh.drain();
 		this.pieces.handOver();
-		callers.drain();
+		callers.beginDrain();
 		long deadlineMs = this.loop.nowMs() + this.settings.platformLimits().graceMs() - KILL_RESERVE_MS;
 		this.loop.schedule(ACCEPT_DURING_DRAIN_MS, () -> {
 			callers.stopListening();
--- a/node/src/main/java/org/tallycart/node/SelfTest.java
+++ b/node/src/main/java/org/tallycart/node/SelfTest.java
@@ -17,8 +17,8 @@
 import org.tallycart.http.event.HttpServer;
 import org.tallycart.node.metrics.MetricsHandler;
 import org.tallycart.platform.http.CallerCodec;
-import org.tallycart.platform.rehearsal.RehearsalStore;
-import org.tallycart.platform.rehearsal.RehearsalUpstream;
+import org.tallycart.platform.selftest.SelfTestStore;
+import org.tallycart.platform.selftest.SelfTestUpstream;
 
 /**
  * Tests an installation: starts two nodes on loopback with a store and upstreams of its
@@ -66,9 +66,9 @@
 	static List<String> run() throws InterruptedException {
 		SelfTest test = new SelfTest();
 		EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-		HttpServer.start(group, ANY_PORT, new RehearsalUpstream())
+		HttpServer.start(group, ANY_PORT, new SelfTestUpstream())
 			.flatMap((upstreams) -> HttpServer.start(group, ANY_PORT,
-					new RehearsalStore(new Address(LOOPBACK, upstreams.port()), group.next())))
+					new SelfTestStore(new Address(LOOPBACK, upstreams.port()), group.next())))
 			.peek((store) -> test.startNodes(new Address(LOOPBACK, store.port())))
 			.peekLeft(test.failures::add);
 		if (test.failures.isEmpty()) {
@@ -94,8 +94,8 @@
 		}
 		Thread.sleep(DISCOVERY_MS);
 		for (Node node : this.nodes) {
-			expect(node, RehearsalUpstream.PLAIN);
-			expect(node, RehearsalUpstream.STREAM);
+			expect(node, SelfTestUpstream.PLAIN);
+			expect(node, SelfTestUpstream.STREAM);
 			expect(node.callersPort(), "/", "400");
 			expect(node.metricsPort(), MetricsHandler.PATH, "200");
 		}
@@ -114,7 +114,7 @@
 		this.failures.add("readiness of a VM did not change within " + TIMEOUT_MS + " ms");
 	}
 
-	private void expect(Node node, RehearsalUpstream.Exchange exchange) {
+	private void expect(Node node, SelfTestUpstream.Exchange exchange) {
 		String response = send(node.callersPort(), exchange.request());
 		if (!response.startsWith("HTTP/1.1 200") || !response.endsWith(exchange.ending())) {
 			this.failures.add("unexpected response to a request: " + response);
--- a/node/src/main/java/org/tallycart/node/crash/CrashReportCoordinator.java
+++ b/node/src/main/java/org/tallycart/node/crash/CrashReportCoordinator.java
@@ -219,8 +219,8 @@
 	}
 
 	@Override
-	public void onLost(String vm) {
-		this.distributor.onLost(vm);
+	public void onPeerFailed(String vm) {
+		this.distributor.onPeerFailed(vm);
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/crash/UpstreamCrashDetector.java
+++ b/node/src/main/java/org/tallycart/node/crash/UpstreamCrashDetector.java
@@ -10,7 +10,7 @@
 import org.tallycart.core.crash.Suspect;
 import org.tallycart.core.serving.UpstreamEntry;
 import org.tallycart.http.event.HttpClient;
-import org.tallycart.http.event.Presence;
+import org.tallycart.http.event.ProbeResult;
 import org.tallycart.node.EventLoop;
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.node.metrics.NodeMetrics;
@@ -95,19 +95,19 @@
 		this.coordinator.onServed(fingerprint);
 	}
 
-	private void onProbed(UpstreamEntry upstream, Presence presence) {
+	private void onProbed(UpstreamEntry upstream, ProbeResult presence) {
 		PendingProbe probe = this.pendingProbes.remove(upstream.incarnation());
 		if (probe == null) {
 			return;
 		}
-		this.metrics.onUpstreamInterrupted(presence == Presence.REFUSES);
+		this.metrics.onUpstreamInterrupted(presence == ProbeResult.REFUSES);
 		this.log.event(EventCode.REQUESTS_CUT, "upstream", upstream.id(), "service", upstream.service(), "upstream_is",
 				presence, "requests", probe.requests);
 		List<Suspect> suspects = probe.requests.stream()
 			.filter(InterruptedRequest::mayHaveCrashedUpstream)
 			.map(InterruptedRequest::request)
 			.toList();
-		if (presence == Presence.REFUSES && !suspects.isEmpty()) {
+		if (presence == ProbeResult.REFUSES && !suspects.isEmpty()) {
 			this.coordinator.onCrash(CrashReport.of(upstream.incarnation(), probe.sinceMs, suspects));
 		}
 	}
--- a/node/src/main/java/org/tallycart/node/peer/NoticeDistributor.java
+++ b/node/src/main/java/org/tallycart/node/peer/NoticeDistributor.java
@@ -137,7 +137,7 @@
 	 * Handle the failure or the restart of another VM.
 	 * @param failed the name of the VM
 	 */
-	public void onLost(String failed) {
+	public void onPeerFailed(String failed) {
 		this.reporters.remove(failed);
 		if (failed.equals(this.lastReceiver)) {
 			this.lastReceiver = "";
--- a/node/src/main/java/org/tallycart/node/peer/PeerMesh.java
+++ b/node/src/main/java/org/tallycart/node/peer/PeerMesh.java
@@ -103,7 +103,7 @@
 	 * @return the name of the VM; this VM's own name if no other is known to be live and
 	 * not draining
 	 */
-	public String holder(LeaderRole role) {
+	public String leader(LeaderRole role) {
 		return this.table.leader(role);
 	}
 
@@ -121,7 +121,7 @@
 	 * Return the leaders for all roles, in the view of this VM.
 	 * @return a live view
 	 */
-	public LeaderView duties() {
+	public LeaderView watchedRoles() {
 		return this.table;
 	}
 
@@ -145,8 +145,8 @@
 	private void onPeerFailed(String vm, String reason) {
 		this.log.event(EventCode.VM_LOST, "vm", vm, "reason", reason);
 		this.reachability.onPeerLost(this.loop.nowMs());
-		this.table.record(vm).map((record) -> this.clients.get(record.address())).ifPresent(WireClient::cut);
-		this.messageHandler.onLost(vm);
+		this.table.record(vm).map((record) -> this.clients.get(record.address())).ifPresent(WireClient::disconnect);
+		this.messageHandler.onPeerFailed(vm);
 	}
 
 	/**
@@ -199,11 +199,11 @@
 		String vm = message.getSenderVm();
 		updateReachability(vm, message);
 		NodeBeat heartbeat = message.getNodeBeat();
-		switch (this.table.onAnswer(vm, message.getSenderIncarnation(), heartbeat.getDraining(), this.loop.nowMs())) {
+		switch (this.table.onReply(vm, message.getSenderIncarnation(), heartbeat.getDraining(), this.loop.nowMs())) {
 			case FOUND -> this.log.event(EventCode.VM_HEARD, "vm", vm);
 			case RESTARTED -> {
 				this.log.event(EventCode.VM_LOST, "vm", vm, "reason", "restarted");
-				this.messageHandler.onLost(vm);
+				this.messageHandler.onPeerFailed(vm);
 			}
 			case NONE -> {
 				// The VM was live before.
@@ -229,7 +229,7 @@
 	 * @param message the message
 	 */
 	public void reply(String vm, Envelope.Builder message) {
-		Optional.ofNullable(this.inboundPeers.get(vm)).filter(WirePeer::open).ifPresent((peer) -> peer.send(message));
+		Optional.ofNullable(this.inboundPeers.get(vm)).filter(WirePeer::isOpen).ifPresent((peer) -> peer.send(message));
 	}
 
 	/**
--- a/node/src/main/java/org/tallycart/node/peer/PeerMessageHandler.java
+++ b/node/src/main/java/org/tallycart/node/peer/PeerMessageHandler.java
@@ -24,7 +24,7 @@
 	 * may be lost.
 	 * @param vm the name of the VM
 	 */
-	void onLost(String vm);
+	void onPeerFailed(String vm);
 
 	/**
 	 * Create a handler that passes each call to all given handlers.
@@ -40,8 +40,8 @@
 			}
 
 			@Override
-			public void onLost(String vm) {
-				handlers.forEach((handler) -> handler.onLost(vm));
+			public void onPeerFailed(String vm) {
+				handlers.forEach((handler) -> handler.onPeerFailed(vm));
 			}
 
 		};
--- a/node/src/main/java/org/tallycart/node/piece/PieceService.java
+++ b/node/src/main/java/org/tallycart/node/piece/PieceService.java
@@ -86,7 +86,7 @@
 	 * Return the leader roles of the VMs that dispatch pieces.
 	 * @return one role for each configured pool
 	 */
-	public List<LeaderRole> duties() {
+	public List<LeaderRole> watchedRoles() {
 		return this.config.current()
 			.map((current) -> current.services().values().stream())
 			.orElse(Stream.empty())
@@ -124,7 +124,7 @@
 
 	private boolean isDispatcherKnown(String service) {
 		return this.mesh
-			.map((peers) -> peers.duties().isLeaderKnown(LeaderRole.poolDispatcher(service), this.loop.nowMs()))
+			.map((peers) -> peers.watchedRoles().isLeaderKnown(LeaderRole.poolDispatcher(service), this.loop.nowMs()))
 			.orElse(true);
 	}
 
@@ -150,7 +150,7 @@
 	}
 
 	private String dispatcher(String service) {
-		return this.mesh.map((peers) -> peers.holder(LeaderRole.poolDispatcher(service))).orElse(this.vm);
+		return this.mesh.map((peers) -> peers.leader(LeaderRole.poolDispatcher(service))).orElse(this.vm);
 	}
 
 	private void submitLocally(PieceJob job, PieceListener listener) {
@@ -276,7 +276,7 @@
 	}
 
 	@Override
-	public void onLost(String failed) {
+	public void onPeerFailed(String failed) {
 		for (RemotePiece piece : new ArrayList<>(this.outstanding.values())) {
 			if (piece.dispatcher.equals(failed)) {
 				this.outstanding.remove(piece.job.id());
--- a/node/src/main/java/org/tallycart/node/piece/PoolDriver.java
+++ b/node/src/main/java/org/tallycart/node/piece/PoolDriver.java
@@ -17,9 +17,9 @@
 import org.tallycart.core.serving.UpstreamEntry;
 import org.tallycart.core.serving.UpstreamReply;
 import org.tallycart.http.event.CallFailure;
-import org.tallycart.http.event.HttpExchange;
-import org.tallycart.http.event.WholeReply;
-import org.tallycart.http.event.WholeReplyCall;
+import org.tallycart.http.event.ClientRequest;
+import org.tallycart.http.event.FullReply;
+import org.tallycart.http.event.FullReplyCall;
 import org.tallycart.node.crash.InterruptedRequest;
 import org.tallycart.platform.http.PieceCodec;
 import org.tallycart.platform.http.UpstreamCodec;
@@ -131,12 +131,13 @@
 					"pieces", call.jobs().size(), "waiting", this.dispatcher.queueSize(), "expected_ms",
 					Math.round(call.expectedMs()), "requests", requests(call));
 		this.context.statements().onSend(worker);
-		HttpExchange exchange = HttpExchange.to(worker.incarnation(), worker.address(), PieceCodec.runHead(worker))
+		ClientRequest exchange = ClientRequest
+			.builder(worker.incarnation(), worker.address(), PieceCodec.runHead(worker))
 			.body(PieceCodec.runBody(call.jobs(), call.startedMs()))
 			.connectTimeoutMs(CONNECT_TIMEOUT_MS)
 			.build();
 		long timeoutMs = (long) (call.expectedMs() * CALL_TIMEOUT_FACTOR) + CALL_TIMEOUT_MARGIN_MS;
-		WholeReplyCall.start(this.context.http(), this.context.loop().executor(), exchange, timeoutMs,
+		FullReplyCall.start(this.context.http(), this.context.loop().executor(), exchange, timeoutMs,
 				(outcome) -> onReply(call, outcome));
 	}
 
@@ -144,7 +145,7 @@
 		return call.jobs().stream().map((job) -> job.id().requestId()).distinct().collect(Collectors.joining(","));
 	}
 
-	private void onReply(PoolCall call, Either<CallFailure, WholeReply> outcome) {
+	private void onReply(PoolCall call, Either<CallFailure, FullReply> outcome) {
 		long now = this.context.loop().nowMs();
 		if (outcome.isLeft()) {
 			CallFailure failure = outcome.getLeft();
@@ -168,10 +169,10 @@
 				InterruptedRequest.NOT_ANSWERED);
 	}
 
-	private void onAnswer(PoolCall call, WholeReply reply, long now) {
+	private void onAnswer(PoolCall call, FullReply reply, long now) {
 		UpstreamReply head = UpstreamCodec.decode(reply.head());
 		this.context.statements().onReply(call.worker(), head);
-		Either<String, List<PieceOutcome>> outcomes = PieceCodec.outcomes(reply.head(), reply.body(),
+		Either<String, List<PieceOutcome>> outcomes = PieceCodec.decodeOutcomes(reply.head(), reply.body(),
 				call.jobs().size());
 		if (outcomes.isLeft()) {
 			logEnd(call, outcomes.getLeft());
@@ -180,7 +181,7 @@
 		}
 		long completed = outcomes.get().stream().filter((o) -> o.status() == PieceOutcome.Status.MADE).count();
 		logEnd(call, "completed " + completed);
-		release(this.dispatcher.onAnswer(call.number(), outcomes.get(), now));
+		release(this.dispatcher.onReply(call.number(), outcomes.get(), now));
 	}
 
 	private void logEnd(PoolCall call, String outcome) {
--- a/node/src/main/java/org/tallycart/node/piece/ResultReleaser.java
+++ b/node/src/main/java/org/tallycart/node/piece/ResultReleaser.java
@@ -9,9 +9,9 @@
 import org.tallycart.core.ini.Address;
 import org.tallycart.core.upstream.UpstreamDirectory;
 import org.tallycart.core.upstream.UpstreamState;
+import org.tallycart.http.event.ClientRequest;
+import org.tallycart.http.event.FullReplyCall;
 import org.tallycart.http.event.HttpClient;
-import org.tallycart.http.event.HttpExchange;
-import org.tallycart.http.event.WholeReplyCall;
 import org.tallycart.node.EventLoop;
 import org.tallycart.platform.http.PieceCodec;
 
@@ -72,7 +72,7 @@
 	 */
 	public void release(List<String> handles) {
 		for (String handle : handles) {
-			PieceCodec.maker(handle).peek((worker) -> addToBatch(worker, handle));
+			PieceCodec.workerAddress(handle).peek((worker) -> addToBatch(worker, handle));
 		}
 	}
 
@@ -107,10 +107,11 @@
 	}
 
 	private void send(UpstreamState state, Address worker, List<String> handles) {
-		HttpExchange exchange = HttpExchange.to(state.entry().incarnation(), worker, PieceCodec.freeHead(state.entry()))
-			.body(PieceCodec.freeBody(handles))
+		ClientRequest exchange = ClientRequest
+			.builder(state.entry().incarnation(), worker, PieceCodec.releaseHead(state.entry()))
+			.body(PieceCodec.releaseBody(handles))
 			.build();
-		WholeReplyCall.start(this.http, this.loop.executor(), exchange, TIMEOUT_MS, (outcome) -> {
+		FullReplyCall.start(this.http, this.loop.executor(), exchange, TIMEOUT_MS, (outcome) -> {
 			// Nothing to do on failure: the worker expires the results by itself.
 		});
 	}
--- a/node/src/main/java/org/tallycart/node/request/Attempt.java
+++ b/node/src/main/java/org/tallycart/node/request/Attempt.java
@@ -13,7 +13,7 @@
 import org.tallycart.core.upstream.UpstreamState;
 import org.tallycart.http.event.Call;
 import org.tallycart.http.event.CallFailure;
-import org.tallycart.http.event.HttpExchange;
+import org.tallycart.http.event.ClientRequest;
 import org.tallycart.http.event.ReplyListener;
 import org.tallycart.node.crash.InterruptedRequest;
 import org.tallycart.platform.http.UpstreamCodec;
@@ -73,8 +73,8 @@
 
 	void send(SendOptions options) {
 		this.upstream.onSend(this.prefillMs);
-		HttpExchange exchange = HttpExchange
-			.to(this.upstream.entry().incarnation(), this.upstream.entry().address(),
+		ClientRequest exchange = ClientRequest
+			.builder(this.upstream.entry().incarnation(), this.upstream.entry().address(),
 					UpstreamCodec.encode(this.plan.request(), this.upstream.entry(), options))
 			.body(this.plan.request().body())
 			.connectTimeoutMs(CONNECT_TIMEOUT_MS)
@@ -239,7 +239,7 @@
 
 	void pause(boolean paused) {
 		if (this.call != null && !this.ended) {
-			this.call.pause(paused);
+			this.call.setPaused(paused);
 		}
 	}
 
--- a/node/src/main/java/org/tallycart/node/request/RequestFlow.java
+++ b/node/src/main/java/org/tallycart/node/request/RequestFlow.java
@@ -96,7 +96,7 @@
 	}
 
 	void start() {
-		this.responder.onCallerGone(this::onCallerGone);
+		this.responder.onCallerDisconnected(this::onCallerGone);
 		this.responder.onBackpressure((paused) -> {
 			if (this.attempt != null) {
 				this.attempt.pause(paused);
--- a/node/src/main/java/org/tallycart/node/request/StageExecution.java
+++ b/node/src/main/java/org/tallycart/node/request/StageExecution.java
@@ -140,7 +140,7 @@
 	private String majorityDomain(List<String> handles) {
 		Map<String, Integer> counts = new HashMap<>();
 		for (String handle : handles) {
-			PieceCodec.maker(handle)
+			PieceCodec.workerAddress(handle)
 				.toJavaOptional()
 				.flatMap((worker) -> this.context.directory().findByAddress(worker))
 				.ifPresent((worker) -> counts.merge(worker.entry().failureDomain(), 1, Integer::sum));
--- a/node/src/main/java/org/tallycart/node/statement/PermitService.java
+++ b/node/src/main/java/org/tallycart/node/statement/PermitService.java
@@ -140,8 +140,8 @@
 	// Returns the VM that grants permits; empty while it is not known.
 	private Optional<String> granter() {
 		return this.mesh.filter((peers) -> peers.knownVmCount() > 0)
-			.filter((peers) -> peers.duties().isLeaderKnown(LeaderRole.PERMIT_GRANTER, this.loop.nowMs()))
-			.map((peers) -> peers.holder(LeaderRole.PERMIT_GRANTER));
+			.filter((peers) -> peers.watchedRoles().isLeaderKnown(LeaderRole.PERMIT_GRANTER, this.loop.nowMs()))
+			.map((peers) -> peers.leader(LeaderRole.PERMIT_GRANTER));
 	}
 
 	private void sendRequest(String granter, String incarnation, long maxWaitMs, Consumer<Permit> listener) {
@@ -220,7 +220,7 @@
 	}
 
 	@Override
-	public void onLost(String failedVm) {
+	public void onPeerFailed(String failedVm) {
 		Map<Long, PendingRequest> requests = new HashMap<>(this.pendingRequests);
 		requests.forEach((number, request) -> {
 			if (request.granter.equals(failedVm)) {
--- a/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
+++ b/node/src/main/java/org/tallycart/node/statement/UpstreamStatements.java
@@ -302,8 +302,8 @@
 	}
 
 	@Override
-	public void onLost(String vm) {
-		this.distributor.onLost(vm);
+	public void onPeerFailed(String vm) {
+		this.distributor.onPeerFailed(vm);
 	}
 
 }
--- a/node/src/main/java/org/tallycart/node/store/EvacuationSink.java
+++ b/node/src/main/java/org/tallycart/node/store/EvacuationSink.java
@@ -6,7 +6,7 @@
 
 import org.tallycart.core.upstream.UpstreamDirectory;
 import org.tallycart.node.log.NodeLog;
-import org.tallycart.platform.store.Evacuations;
+import org.tallycart.platform.store.EvacuationOrders;
 import org.tallycart.platform.store.ObjectChange;
 import org.tallycart.platform.store.StoredObject;
 import org.tallycart.runtime.event.EventCode;
@@ -36,7 +36,7 @@
 	public void onAll(List<StoredObject> objects) {
 		Set<String> before = Set.copyOf(this.domains);
 		this.domains.clear();
-		objects.forEach((object) -> this.domains.add(Evacuations.failureDomain(object)));
+		objects.forEach((object) -> this.domains.add(EvacuationOrders.failureDomain(object)));
 		apply(before);
 	}
 
@@ -44,7 +44,7 @@
 	public void onChanges(List<ObjectChange> changes) {
 		Set<String> before = Set.copyOf(this.domains);
 		for (ObjectChange change : changes) {
-			String domain = Evacuations.failureDomain(change.object());
+			String domain = EvacuationOrders.failureDomain(change.object());
 			if (change.gone()) {
 				this.domains.remove(domain);
 			}
--- a/node/src/main/java/org/tallycart/node/store/FeedReplica.java
+++ b/node/src/main/java/org/tallycart/node/store/FeedReplica.java
@@ -16,7 +16,7 @@
 import org.tallycart.platform.store.ObjectChange;
 import org.tallycart.platform.store.ObjectSource;
 import org.tallycart.platform.store.StoreError;
-import org.tallycart.platform.store.StorePoint;
+import org.tallycart.platform.store.StorePosition;
 import org.tallycart.platform.store.StoredObject;
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.wire.message.Feed;
@@ -58,7 +58,7 @@
 
 	private final Map<String, StoredObject> objects = new HashMap<>();
 
-	private StorePoint point = StorePoint.UNKNOWN;
+	private StorePosition point = StorePosition.UNKNOWN;
 
 	// When the overrides expire; empty if there are none, or they do not expire.
 	private OptionalLong overridesEndMs = OptionalLong.empty();
@@ -91,12 +91,12 @@
 		};
 	}
 
-	StorePoint point() {
+	StorePosition point() {
 		return this.point;
 	}
 
 	boolean isLoaded() {
-		return !this.point.equals(StorePoint.UNKNOWN);
+		return !this.point.equals(StorePosition.UNKNOWN);
 	}
 
 	/**
@@ -123,9 +123,9 @@
 	 * @return true if it is of this kind and behind this one, or has expired overrides
 	 */
 	boolean isNeededBy(FeedRevision other) {
-		StorePoint otherPoint = new StorePoint(other.getEra(), other.getRevision());
-		boolean correctsOther = other.getOverdue() && this.overridesEndMs.isEmpty() && !this.point.before(otherPoint);
-		return other.getFeed() == this.feed && (otherPoint.before(this.point) || correctsOther);
+		StorePosition otherPoint = new StorePosition(other.getEra(), other.getRevision());
+		boolean correctsOther = other.getOverdue() && this.overridesEndMs.isEmpty() && !this.point.isBefore(otherPoint);
+		return other.getFeed() == this.feed && (otherPoint.isBefore(this.point) || correctsOther);
 	}
 
 	// Returns the number of objects that differ from the restored store.
@@ -135,7 +135,7 @@
 
 	void startReading() {
 		this.reading = true;
-		this.source.renew();
+		this.source.restart();
 	}
 
 	// Starts to read, unless the era has been read already.
@@ -151,8 +151,8 @@
 	}
 
 	@Override
-	public void onList(List<StoredObject> listed, StorePoint listPoint) {
-		if (listPoint.before(this.point)) {
+	public void onList(List<StoredObject> listed, StorePosition listPoint) {
+		if (listPoint.isBefore(this.point)) {
 			return;
 		}
 		long now = this.loop.nowMs();
@@ -178,7 +178,7 @@
 
 	private void listIfReading() {
 		if (this.reading) {
-			this.source.renew();
+			this.source.restart();
 		}
 	}
 
@@ -199,15 +199,15 @@
 	}
 
 	@Override
-	public void onChanges(List<ObjectChange> changes, StorePoint reached) {
-		StorePoint from = this.point;
+	public void onChanges(List<ObjectChange> changes, StorePosition reached) {
+		StorePosition from = this.point;
 		this.overrides.onChanges(changes);
 		applyChanges(changes, reached);
 		this.publisher
 			.accept(update(from, false).addAllObjects(changes.stream().map(FeedReplica::encode).toList()).build());
 	}
 
-	private void applyChanges(List<ObjectChange> changes, StorePoint reached) {
+	private void applyChanges(List<ObjectChange> changes, StorePosition reached) {
 		for (ObjectChange change : changes) {
 			if (change.gone()) {
 				this.objects.remove(change.object().name());
@@ -217,12 +217,12 @@
 				this.objects.put(change.object().name(), change.object());
 			}
 		}
-		this.point = reached.before(this.point) ? this.point : reached;
+		this.point = reached.isBefore(this.point) ? this.point : reached;
 		this.sink.onChanges(changes);
 	}
 
 	@Override
-	public void onLost(StoreError error) {
+	public void onFailure(StoreError error) {
 		if (!this.storeLost) {
 			this.storeLost = true;
 			this.log.event(EventCode.STORE_LOST, "feed", this.feed, "error", error.kind(), "detail", error.detail());
@@ -241,7 +241,7 @@
 	}
 
 	@Override
-	public void onReached() {
+	public void onSuccess() {
 		if (this.storeLost) {
 			this.storeLost = false;
 			this.log.event(EventCode.STORE_BACK, "feed", this.feed);
@@ -259,10 +259,10 @@
 			.stream()
 			.map((object) -> encode(new ObjectChange(object, false)))
 			.toList();
-		return update(StorePoint.UNKNOWN, true).addAllObjects(all).build();
+		return update(StorePosition.UNKNOWN, true).addAllObjects(all).build();
 	}
 
-	private FeedUpdate.Builder update(StorePoint from, boolean snapshot) {
+	private FeedUpdate.Builder update(StorePosition from, boolean snapshot) {
 		return FeedUpdate.newBuilder()
 			.setFeed(this.feed)
 			.setWhole(snapshot)
@@ -293,11 +293,11 @@
 	 * @param update the update
 	 */
 	void onUpdate(FeedUpdate update) {
-		StorePoint reached = new StorePoint(update.getEra(), update.getRevision());
+		StorePosition reached = new StorePosition(update.getEra(), update.getRevision());
 		boolean sameEra = isLoaded() && reached.era() == this.point.era();
 		boolean contiguous = update.getWhole() || (sameEra && update.getFromRevision() <= this.point.revision());
 		boolean samePoint = reached.equals(this.point);
-		if (reached.before(this.point) || !contiguous || (samePoint && !update.getWhole())) {
+		if (reached.isBefore(this.point) || !contiguous || (samePoint && !update.getWhole())) {
 			return;
 		}
 		List<ObjectChange> changes = decode(update);
@@ -325,7 +325,7 @@
 	private List<ObjectChange> decode(FeedUpdate update) {
 		List<ObjectChange> changes = new ArrayList<>();
 		for (FeedObject object : update.getObjectsList()) {
-			StoredObject.of(object.getName(), object.getRevision(), object.getContent())
+			StoredObject.parse(object.getName(), object.getRevision(), object.getContent())
 				.peek((decoded) -> changes.add(new ObjectChange(decoded, object.getGone())))
 				.peekLeft((reason) -> this.log.event(EventCode.CONFIG_REJECTED, "feed", this.feed, "reason", reason));
 		}
--- a/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
+++ b/node/src/main/java/org/tallycart/node/store/StoreReplicator.java
@@ -22,7 +22,7 @@
 import org.tallycart.node.peer.HeartbeatHandler;
 import org.tallycart.node.peer.PeerMesh;
 import org.tallycart.platform.store.ConfigDecoder;
-import org.tallycart.platform.store.Evacuations;
+import org.tallycart.platform.store.EvacuationOrders;
 import org.tallycart.platform.store.FeedListener;
 import org.tallycart.platform.store.ObjectClient;
 import org.tallycart.platform.store.ObjectFeed;
@@ -143,7 +143,7 @@
 		this.loop = loop;
 		this.log = log;
 		this.records = new VmRecords(client);
-		client.onEra((from, to) -> onEra(to, "the store"));
+		client.setEraListener((from, to) -> onEra(to, "the store"));
 		this.vmReplica = createReplica(Feed.VMS, new VmRecordSink(log, this::onRecords),
 				(listener) -> new ObjectFeed(client, loop.executor(), VmRecords.KIND,
 						OptionalLong.of(RECORDS_INTERVAL_MS), listener));
@@ -154,7 +154,7 @@
 				new UpstreamSink(directory, loop, log, state.metrics(), onChange));
 		if (settings.evacuationsEnabled()) {
 			directory.expectEvacuations();
-			addReplica(client, Feed.EVACUATIONS, Evacuations.KIND, new EvacuationSink(directory, log, onChange));
+			addReplica(client, Feed.EVACUATIONS, EvacuationOrders.KIND, new EvacuationSink(directory, log, onChange));
 		}
 		addReplica(client, Feed.QUARANTINE, QuarantineRecords.KIND, new QuarantineSink(state.quarantine(), loop, log));
 		this.replicas.add(this.vmReplica);
@@ -221,7 +221,7 @@
 	}
 
 	private void review() {
-		this.mesh.ifPresent((peers) -> review(peers.duties(), this.loop.nowMs()));
+		this.mesh.ifPresent((peers) -> review(peers.watchedRoles(), this.loop.nowMs()));
 	}
 
 	private void review(LeaderView view, long now) {
@@ -314,7 +314,7 @@
 
 	@Override
 	public String storeReader() {
-		return this.mesh.map((peers) -> peers.holder(LeaderRole.STORE_READER)).orElse(this.settings.vm());
+		return this.mesh.map((peers) -> peers.leader(LeaderRole.STORE_READER)).orElse(this.settings.vm());
 	}
 
 	@Override
@@ -336,7 +336,8 @@
 	}
 
 	private String preferredSource() {
-		return this.mesh.map((peers) -> this.chooser.preferredSource(peers.duties(), this.loop.nowMs())).orElse("");
+		return this.mesh.map((peers) -> this.chooser.preferredSource(peers.watchedRoles(), this.loop.nowMs()))
+			.orElse("");
 	}
 
 	@Override
@@ -364,8 +365,7 @@
 
 	@Override
 	public void onReply(String vm, NodeBeat reply) {
-		this.chooser.onAnswer(vm, reply.getPassesOn(), Integer.toUnsignedLong(reply.getStoreAgeMs()),
-				this.loop.nowMs());
+		this.chooser.onReply(vm, reply.getPassesOn(), Integer.toUnsignedLong(reply.getStoreAgeMs()), this.loop.nowMs());
 	}
 
 	@Override
--- a/node/src/test/java/org/tallycart/node/AbstractNodeTests.java
+++ b/node/src/test/java/org/tallycart/node/AbstractNodeTests.java
@@ -152,7 +152,7 @@
 	}
 
 	int runs(String id) {
-		return this.upstreams.values().stream().mapToInt((upstream) -> upstream.runs(id)).sum();
+		return this.upstreams.values().stream().mapToInt((upstream) -> upstream.runCount(id)).sum();
 	}
 
 	void setFault(String service, UpstreamStandin.Fault fault) {
--- a/node/src/test/java/org/tallycart/node/CrashingRequestTests.java
+++ b/node/src/test/java/org/tallycart/node/CrashingRequestTests.java
@@ -55,7 +55,7 @@
 	}
 
 	private long crashed() {
-		return this.upstreams.values().stream().filter(UpstreamStandin::crashed).count();
+		return this.upstreams.values().stream().filter(UpstreamStandin::isCrashed).count();
 	}
 
 	// Each copy has a new id and goes to another VM.
@@ -84,7 +84,7 @@
 	/** Other requests at the same upstreams are interrupted, and repeated. */
 	@Test
 	void requestsThatOnlySharedAnUpstreamWithItAreServedWhenRepeated() throws InterruptedException {
-		this.upstreams.values().forEach((upstream) -> upstream.setWork(100));
+		this.upstreams.values().forEach((upstream) -> upstream.setWorkMs(100));
 		List<Thread> others = IntStream.range(0, COPIES * 4)
 			.mapToObj((i) -> new Thread(() -> sendOtherRequests(i)))
 			.toList();
--- a/node/src/test/java/org/tallycart/node/EvacuationAndInvalidEntryTests.java
+++ b/node/src/test/java/org/tallycart/node/EvacuationAndInvalidEntryTests.java
@@ -52,7 +52,7 @@
 		return this.upstreams.entrySet()
 			.stream()
 			.filter((each) -> each.getKey().endsWith("-far"))
-			.mapToInt((each) -> each.getValue().allRuns().size() + each.getValue().batches().size())
+			.mapToInt((each) -> each.getValue().runCounts().size() + each.getValue().batchSizes().size())
 			.sum();
 	}
 
@@ -91,9 +91,9 @@
 		this.store.put("servers", "i-plain-far", entry.replace(valid, invalid));
 		awaitMetricAtAll("\nupstreams 8.0");
 		this.nodes.forEach((node) -> assertTrue(metrics(node).contains("upstreams_unreadable_" + reason + " 1.0")));
-		int before = this.upstreams.get("i-plain-far").allRuns().size();
+		int before = this.upstreams.get("i-plain-far").runCounts().size();
 		callAll("e");
-		assertEquals(this.upstreams.get("i-plain-far").allRuns().size(), before);
+		assertEquals(this.upstreams.get("i-plain-far").runCounts().size(), before);
 		this.store.put("servers", "i-plain-far", entry);
 		awaitMetricAtAll("\nupstreams 9.0");
 	}
--- a/node/src/test/java/org/tallycart/node/EventLoopTests.java
+++ b/node/src/test/java/org/tallycart/node/EventLoopTests.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 
 import org.tallycart.runtime.event.EventCode;
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
@@ -32,7 +32,7 @@
 	@Test
 	void aPeriodicTaskThatFailsIsReportedAndRunsAgain() throws InterruptedException {
 		List<EventCode> reported = new CopyOnWriteArrayList<>();
-		EventLoop loop = new EventLoop(this.executor, Guard.install((code, detail) -> reported.add(code)));
+		EventLoop loop = new EventLoop(this.executor, TaskFailureHandler.install((code, detail) -> reported.add(code)));
 		CountDownLatch runs = new CountDownLatch(2);
 
 		loop.scheduleWithFixedDelay(1, () -> {
--- a/node/src/test/java/org/tallycart/node/NamedLimitTests.java
+++ b/node/src/test/java/org/tallycart/node/NamedLimitTests.java
@@ -116,12 +116,12 @@
 
 	private UpstreamStandin limited(String service) {
 		UpstreamStandin upstream = this.upstreams.get("i-" + service + "0");
-		upstream.nameLimit(String.valueOf(PER_SECOND));
+		upstream.stateLimit(String.valueOf(PER_SECOND));
 		return upstream;
 	}
 
 	private static void assertKept(UpstreamStandin upstream, long fromMs) {
-		int maxArrivals = upstream.mostArrivals(SPAN_MS, fromMs);
+		int maxArrivals = upstream.maxArrivals(SPAN_MS, fromMs);
 		assertTrue(maxArrivals <= TOLERATED, maxArrivals + " in " + SPAN_MS + " ms, " + TOLERATED + " are tolerated");
 	}
 
@@ -133,7 +133,7 @@
 		startCallers(CALLERS, path, headers);
 		pause(TRAFFIC_MS);
 		assertKept(limited, fromMs);
-		assertTrue(limited.mostArrivals(SPAN_MS, fromMs) >= PER_SECOND, "requests within the limit are still sent");
+		assertTrue(limited.maxArrivals(SPAN_MS, fromMs) >= PER_SECOND, "requests within the limit are still sent");
 		assertEquals(this.declined.get(), 0, "the other upstream serves the rest");
 	}
 
@@ -196,14 +196,14 @@
 		List<UpstreamStandin> all = IntStream.range(0, 2)
 			.mapToObj((i) -> this.upstreams.get("i-" + service + i))
 			.toList();
-		all.forEach((upstream) -> upstream.nameLimit("5"));
+		all.forEach((upstream) -> upstream.stateLimit("5"));
 		startCallers(MANY_CALLERS, path, headers);
 		pause(ENFORCEMENT_DELAY_MS);
 		long fromMs = monotonicMs();
 		int before = this.served.get();
 		pause(SPAN_MS);
 		int inSpan = this.served.get() - before;
-		all.forEach((upstream) -> assertTrue(upstream.mostArrivals(SPAN_MS, fromMs) <= 35));
+		all.forEach((upstream) -> assertTrue(upstream.maxArrivals(SPAN_MS, fromMs) <= 35));
 		assertTrue(inSpan >= 32, inSpan + " served of 40 within the limits");
 		assertTrue(this.declined.get() > 0, "demand exceeds the limits");
 	}
@@ -214,8 +214,8 @@
 		UpstreamStandin limited = limited(service);
 		startCallers(CALLERS, path, headers);
 		pause(ENFORCEMENT_DELAY_MS);
-		limited.liftLimit();
-		await(() -> limited.mostArrivals(1_000, monotonicMs() - 1_000) > 3 * PER_SECOND);
+		limited.clearLimit();
+		await(() -> limited.maxArrivals(1_000, monotonicMs() - 1_000) > 3 * PER_SECOND);
 	}
 
 	/** A worker of a stage pool states a limit. */
@@ -233,9 +233,9 @@
 	@Test
 	void aMalformedLimitIsIgnored() {
 		UpstreamStandin upstream = this.upstreams.get("i-plain0");
-		upstream.nameLimit("many");
+		upstream.stateLimit("many");
 		startCallers(CALLERS, "/plain/x", KEY);
-		await(() -> upstream.mostArrivals(1_000, monotonicMs() - 1_000) > 3 * PER_SECOND);
+		await(() -> upstream.maxArrivals(1_000, monotonicMs() - 1_000) > 3 * PER_SECOND);
 		assertTrue(metrics(this.nodes.get(0)).contains("upstreams_unreadable_limit"));
 		assertEquals(this.declined.get(), 0);
 	}
--- a/node/src/test/java/org/tallycart/node/NodeEndToEndTests.java
+++ b/node/src/test/java/org/tallycart/node/NodeEndToEndTests.java
@@ -66,9 +66,9 @@
 			assertTrue(response.endsWith("0\r\n\r\n"), "complete");
 			assertEquals(runs(id), 1);
 		}
-		int pieces = this.upstreams.values().stream().flatMap((u) -> u.batches().stream()).mapToInt((n) -> n).sum();
+		int pieces = this.upstreams.values().stream().flatMap((u) -> u.batchSizes().stream()).mapToInt((n) -> n).sum();
 		assertEquals(pieces, vms() * 5);
-		await(() -> this.upstreams.values().stream().mapToInt(UpstreamStandin::freed).sum() == vms() * 5);
+		await(() -> this.upstreams.values().stream().mapToInt(UpstreamStandin::releasedCount).sum() == vms() * 5);
 	}
 
 	@Test
@@ -79,7 +79,7 @@
 						+ "X-Tallycart-Pieces: 1,1\r\nX-Tallycart-Piece-Key: k\r\n\r\n");
 		assertTrue(response.startsWith("HTTP/1.1 503"), response);
 		assertTrue(response.contains("Retry-After"));
-		assertTrue(this.upstreams.values().stream().allMatch((upstream) -> upstream.batches().isEmpty()));
+		assertTrue(this.upstreams.values().stream().allMatch((upstream) -> upstream.batchSizes().isEmpty()));
 	}
 
 	@Test
@@ -87,7 +87,7 @@
 		for (int i = 0; i < 6; i++) {
 			request(this.nodes.get(i % vms()), "/fragile/x", "r" + i, GENERATION);
 		}
-		long engines = this.upstreams.values().stream().filter((upstream) -> !upstream.allRuns().isEmpty()).count();
+		long engines = this.upstreams.values().stream().filter((upstream) -> !upstream.runCounts().isEmpty()).count();
 		assertEquals(engines, 1);
 	}
 
@@ -97,7 +97,7 @@
 		Thread faultRemover = new Thread(() -> {
 			await(() -> runs("r1") > 0);
 			this.upstreams.values().forEach((upstream) -> {
-				if (upstream.runs("r1") == 0) {
+				if (upstream.runCount("r1") == 0) {
 					upstream.setFault(UpstreamStandin.Fault.NONE);
 				}
 			});
@@ -120,7 +120,7 @@
 			setFault("engine", UpstreamStandin.Fault.INPUT_GONE);
 			setFault("pool", UpstreamStandin.Fault.CLOSE);
 			this.upstreams.values().forEach((upstream) -> {
-				if (upstream.runs("r1") > 0) {
+				if (upstream.runCount("r1") > 0) {
 					upstream.setFault(UpstreamStandin.Fault.BREAK);
 				}
 			});
@@ -203,11 +203,11 @@
 		this.store.remove("servers", "i-plain1");
 		addUpstream("plain", "i-plain2");
 		await(() -> request(this.nodes.get(0), "/plain/x", "r1", KEY).contains("i-plain2"));
-		Map<String, Integer> before = this.upstreams.get("i-plain0").allRuns();
+		Map<String, Integer> before = this.upstreams.get("i-plain0").runCounts();
 		for (int i = 0; i < 10; i++) {
 			assertTrue(request(this.nodes.get(0), "/plain/x", "q" + i, KEY).contains("i-plain2"));
 		}
-		assertEquals(this.upstreams.get("i-plain0").allRuns(), before);
+		assertEquals(this.upstreams.get("i-plain0").runCounts(), before);
 	}
 
 	@Test
@@ -217,9 +217,9 @@
 		this.store.remove("servers", "i-plain1");
 		this.store.put("servers", "i-stale", other);
 		await(() -> request(this.nodes.get(0), "/plain/x", "r1", KEY).startsWith("HTTP/1.1 503"));
-		Map<String, Integer> before = this.upstreams.get("i-plain0").allRuns();
+		Map<String, Integer> before = this.upstreams.get("i-plain0").runCounts();
 		request(this.nodes.get(0), "/plain/x", "r2", KEY);
-		assertEquals(this.upstreams.get("i-plain0").allRuns(), before);
+		assertEquals(this.upstreams.get("i-plain0").runCounts(), before);
 	}
 
 	@Test
@@ -269,7 +269,7 @@
 					.getBytes(StandardCharsets.ISO_8859_1));
 			await(() -> runs("r1") == 1);
 		}
-		await(() -> this.upstreams.values().stream().mapToInt(UpstreamStandin::gone).sum() == 1);
+		await(() -> this.upstreams.values().stream().mapToInt(UpstreamStandin::disconnectCount).sum() == 1);
 	}
 
 	@Test
--- a/node/src/test/java/org/tallycart/node/StoreCopyTests.java
+++ b/node/src/test/java/org/tallycart/node/StoreCopyTests.java
@@ -37,12 +37,12 @@
 
 	@BeforeMethod(dependsOnMethods = "begin")
 	void takeBackup() {
-		this.store.keepCopy();
+		this.store.saveBackup();
 	}
 
 	private void rollBack() {
 		IntStream.range(0, LOST_WRITES).forEach((i) -> this.store.put("other", "o" + i, "{}"));
-		this.store.comeBackFromCopy();
+		this.store.restoreBackup();
 	}
 
 	private void awaitMetricAtAll(String line) {
@@ -109,14 +109,14 @@
 		pause(REWRITE_PERIOD_MS / 4);
 		rollBack();
 		awaitMetricAtAll("store_era 1.0");
-		Map<String, Integer> left = this.upstreams.get("i-plain0").allRuns();
-		Map<String, Integer> draining = this.upstreams.get("i-engine0").allRuns();
+		Map<String, Integer> left = this.upstreams.get("i-plain0").runCounts();
+		Map<String, Integer> draining = this.upstreams.get("i-engine0").runCounts();
 		for (int i = 0; i < 10; i++) {
 			request(this.nodes.get(i % vms()), "/plain/x", "p" + i, KEY);
 			request(this.nodes.get(i % vms()), "/stream/x", "s" + i, GENERATION);
 		}
-		assertEquals(this.upstreams.get("i-plain0").allRuns(), left);
-		assertEquals(this.upstreams.get("i-engine0").allRuns(), draining);
+		assertEquals(this.upstreams.get("i-plain0").runCounts(), left);
+		assertEquals(this.upstreams.get("i-engine0").runCounts(), draining);
 	}
 
 	/** A failure domain was evacuated after the backup. */
@@ -138,7 +138,7 @@
 	@Test
 	void anEndedEvacuationIsNotRestored() {
 		this.store.put("evacuations", "d", "{}");
-		this.store.keepCopy();
+		this.store.saveBackup();
 		awaitMetricAtAll("evacuated_domains 1.0");
 		this.store.remove("evacuations", "d");
 		awaitMetricAtAll("evacuated_domains 0.0");
@@ -182,13 +182,13 @@
 
 	@Test(groups = "known-red")
 	void aReturnCostsFewCalls() {
-		int before = this.store.calls();
+		int before = this.store.callCount();
 		pause(1_000);
-		int normal = this.store.calls() - before;
+		int normal = this.store.callCount() - before;
 		rollBack();
-		before = this.store.calls();
+		before = this.store.callCount();
 		pause(1_000);
-		int after = this.store.calls() - before;
+		int after = this.store.callCount() - before;
 		assertTrue(after <= normal + vms() + 24, after + " calls in a second, " + normal + " before");
 	}
 
--- a/node/src/test/java/org/tallycart/node/StoreReplicationTests.java
+++ b/node/src/test/java/org/tallycart/node/StoreReplicationTests.java
@@ -44,10 +44,10 @@
 
 	@Test
 	void oneVmReadsAChangeAndAllVmsReceiveIt() {
-		int before = this.store.told(KIND);
+		int before = this.store.watchesWithChanges(KIND);
 		changeConfig(9, "/fresh/");
 		awaitServed("/fresh/");
-		assertEquals(this.store.told(KIND) - before, 1);
+		assertEquals(this.store.watchesWithChanges(KIND) - before, 1);
 	}
 
 	/**
@@ -79,13 +79,13 @@
 	void aRemovedUpstreamGetsNoRequestsFromAnyVm() {
 		this.store.remove("servers", "i-plain0");
 		this.nodes.forEach((node) -> await(() -> metrics(node).contains("\nupstreams 5.0")));
-		int before = this.upstreams.get("i-plain0").allRuns().size();
+		int before = this.upstreams.get("i-plain0").runCounts().size();
 		this.nodes.forEach((node) -> {
 			for (int i = 0; i < 8; i++) {
 				assertFalse(request(node, "/plain/x", "q" + i, KEY).contains("i-plain0"));
 			}
 		});
-		assertEquals(this.upstreams.get("i-plain0").allRuns().size(), before);
+		assertEquals(this.upstreams.get("i-plain0").runCounts().size(), before);
 	}
 
 	/**
--- a/node/src/test/java/org/tallycart/node/UpstreamUnavailabilityTests.java
+++ b/node/src/test/java/org/tallycart/node/UpstreamUnavailabilityTests.java
@@ -143,7 +143,7 @@
 	void aDrainingUpstreamGetsNoNewRequestsWhileTheStoreIsDown(String service, String path, String headers) {
 		this.store.setDown(true);
 		startCallers(true, path, headers);
-		upstream(service).sayLeaving("1");
+		upstream(service).stateDraining("1");
 		pause(DRAIN_MS);
 		assertGetsNoRequests(upstream(service));
 		assertEquals(this.unserved.get(), 0, "the other upstream serves all");
@@ -154,7 +154,7 @@
 	void drainingIsRecognizedInFailedRepliesToo() {
 		setFault("plain", UpstreamStandin.Fault.ERROR);
 		startCallers(true, "/plain/x", KEY);
-		upstream("plain").sayLeaving("1");
+		upstream("plain").stateDraining("1");
 		pause(DRAIN_MS);
 		assertGetsNoRequests(upstream("plain"));
 	}
@@ -163,7 +163,7 @@
 	@Test
 	void anEntryThatReappearsDoesNotEndDraining() {
 		startCallers(true, "/plain/x", KEY);
-		upstream("plain").sayLeaving("1");
+		upstream("plain").stateDraining("1");
 		pause(DRAIN_MS);
 		this.store.remove("servers", "i-plain0");
 		pause(DRAIN_MS / 4);
@@ -176,7 +176,7 @@
 	 */
 	@Test
 	void allVmsKnowOfDrainingIncludingThoseThatStartLater() {
-		upstream("plain").sayLeaving("1");
+		upstream("plain").stateDraining("1");
 		await(() -> call(this.nodes.get(0), "/plain/x", KEY).contains("Server-Leaving"));
 		pause(DRAIN_MS / 2);
 		Node late = Node.start(settings("vm-late"), 0).get();
@@ -197,7 +197,7 @@
 		startCallers(false, path, headers);
 		UpstreamStandin backingOff = upstream(service);
 		await(() -> !backingOff.arrivalsMs().isEmpty());
-		backingOff.askForRest("3");
+		backingOff.startBackoff("3");
 		long requestedMs = monotonicMs();
 		await(() -> arrivals(backingOff, requestedMs, monotonicMs()) > 0);
 		pause(BACKOFF_MS);
@@ -205,10 +205,10 @@
 		long duringBackoff = within(backingOff.arrivalsMs(), firstMs + BACKOFF_GRACE_MS, firstMs + BACKOFF_MS);
 		assertTrue(duringBackoff <= TOLERATED, duringBackoff + " requests during a backoff");
 		assertEquals(this.unserved.get(), 0, "the other upstream serves all");
-		long releasedDuringBackoff = within(backingOff.givenInRestMs(), firstMs + BACKOFF_GRACE_MS,
+		long releasedDuringBackoff = within(backingOff.releasesInBackoffMs(), firstMs + BACKOFF_GRACE_MS,
 				firstMs + BACKOFF_MS);
 		assertEquals(releasedDuringBackoff, 0, "results released during a backoff");
-		backingOff.endRest();
+		backingOff.endBackoff();
 		long endedMs = monotonicMs();
 		await(() -> arrivals(backingOff, endedMs, monotonicMs()) > 0);
 	}
@@ -217,12 +217,12 @@
 	@Test
 	void aBackoffConcernsOnlyTheVmThatWasAsked() {
 		UpstreamStandin backingOff = upstream("plain");
-		backingOff.askForRest("30");
+		backingOff.startBackoff("30");
 		await(() -> {
 			call(this.nodes.get(0), "/plain/x", KEY);
 			return !backingOff.arrivalsMs().isEmpty();
 		});
-		backingOff.endRest();
+		backingOff.endBackoff();
 		int before = backingOff.arrivalsMs().size();
 		await(() -> {
 			call(this.nodes.get(1), "/plain/x", KEY);
@@ -233,7 +233,7 @@
 	/** All upstreams of a service, or all workers of a pool, ask for a backoff. */
 	@Test(dataProvider = "services")
 	void callersGetRetryAfterAtOnceIfAllUpstreamsAskForABackoff(String service, String path, String headers) {
-		all(service).forEach((upstream) -> upstream.askForRest("20"));
+		all(service).forEach((upstream) -> upstream.startBackoff("20"));
 		Node node = this.nodes.get(0);
 		await(() -> {
 			call(node, path, headers);
@@ -258,7 +258,7 @@
 	/** All upstreams of a service, or all workers of a pool, drain. */
 	@Test(dataProvider = "services")
 	void callersGetRetryAfterAtOnceIfAllUpstreamsDrain(String service, String path, String headers) {
-		all(service).forEach((upstream) -> upstream.sayLeaving("1"));
+		all(service).forEach((upstream) -> upstream.stateDraining("1"));
 		Node node = this.nodes.get(0);
 		await(() -> {
 			call(node, path, headers);
@@ -275,14 +275,14 @@
 	/** All engines ask for a backoff, and a request needs stage work first. */
 	@Test
 	void noStageWorkIsDoneForARequestThatNoEngineAccepts() {
-		all("engine").forEach((engine) -> engine.askForRest("20"));
+		all("engine").forEach((engine) -> engine.startBackoff("20"));
 		Node node = this.nodes.get(0);
 		await(() -> {
 			call(node, "/stream/x", GENERATION);
 			return all("engine").stream().noneMatch((upstream) -> upstream.arrivalsMs().isEmpty());
 		});
 		assertRefused(call(node, "/stream/x", STAGED), 10, 21);
-		all("pool").forEach((worker) -> assertEquals(worker.batches().size(), 0));
+		all("pool").forEach((worker) -> assertEquals(worker.batchSizes().size(), 0));
 	}
 
 	@DataProvider
@@ -295,10 +295,10 @@
 	void aMalformedStatementIsIgnored(String kind, String value) {
 		UpstreamStandin upstream = upstream("plain");
 		if (kind.equals("leaving")) {
-			upstream.sayLeaving(value);
+			upstream.stateDraining(value);
 		}
 		else {
-			upstream.askForRest(value);
+			upstream.startBackoff(value);
 		}
 		startCallers(false, "/plain/x", KEY);
 		await(() -> upstream.arrivalsMs().size() > 10);
--- a/node/src/test/java/org/tallycart/node/piece/PoolDriversTests.java
+++ b/node/src/test/java/org/tallycart/node/piece/PoolDriversTests.java
@@ -20,7 +20,7 @@
 import org.tallycart.node.log.NodeLog;
 import org.tallycart.node.metrics.NodeMetrics;
 import org.tallycart.node.store.ActiveConfig;
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 import org.testng.annotations.Test;
 
 import static org.testng.Assert.assertEquals;
@@ -38,7 +38,7 @@
 	@Test
 	void piecesStayPendingUntilWorkersAreKnown() {
 		EmbeddedChannel channel = new EmbeddedChannel();
-		EventLoop loop = new EventLoop(channel.eventLoop(), Guard.install((code, detail) -> {
+		EventLoop loop = new EventLoop(channel.eventLoop(), TaskFailureHandler.install((code, detail) -> {
 			throw new IllegalStateException(detail);
 		}), () -> 0);
 		NodeLog log = new NodeLog(() -> 0);
--- a/node/src/test/java/org/tallycart/node/store/FeedReplicaTests.java
+++ b/node/src/test/java/org/tallycart/node/store/FeedReplicaTests.java
@@ -14,9 +14,9 @@
 import org.tallycart.platform.store.FeedListener;
 import org.tallycart.platform.store.ObjectChange;
 import org.tallycart.platform.store.ObjectSource;
-import org.tallycart.platform.store.StorePoint;
+import org.tallycart.platform.store.StorePosition;
 import org.tallycart.platform.store.StoredObject;
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 import org.tallycart.wire.message.Feed;
 import org.tallycart.wire.message.FeedUpdate;
 import org.testng.annotations.AfterMethod;
@@ -43,7 +43,7 @@
 
 	private final Map<String, StoredObject> store = new HashMap<>();
 
-	private StorePoint storePoint = new StorePoint(0, 10);
+	private StorePosition storePoint = new StorePosition(0, 10);
 
 	private long nowMs;
 
@@ -54,7 +54,7 @@
 		this.store.clear();
 		put("a", 4);
 		put("dead", 9);
-		this.storePoint = new StorePoint(0, 10);
+		this.storePoint = new StorePosition(0, 10);
 	}
 
 	@AfterMethod
@@ -63,13 +63,13 @@
 	}
 
 	private void put(String name, long revision) {
-		this.store.put(name, StoredObject.of(name, revision, "{}").get());
-		this.storePoint = new StorePoint(this.storePoint.era(), Math.max(revision, this.storePoint.revision()));
+		this.store.put(name, StoredObject.parse(name, revision, "{}").get());
+		this.storePoint = new StorePosition(this.storePoint.era(), Math.max(revision, this.storePoint.revision()));
 	}
 
 	private void rollBackWithout(String name, long revision) {
 		this.store.remove(name);
-		this.storePoint = new StorePoint(this.storePoint.era() + 1, revision);
+		this.storePoint = new StorePosition(this.storePoint.era() + 1, revision);
 	}
 
 	private void run(long ms) {
@@ -150,9 +150,10 @@
 
 		private Vm() {
 			NodeLog log = new NodeLog(() -> FeedReplicaTests.this.nowMs);
-			EventLoop loop = new EventLoop(FeedReplicaTests.this.channel.eventLoop(), Guard.install((code, detail) -> {
-				throw new IllegalStateException(detail);
-			}), () -> FeedReplicaTests.this.nowMs);
+			EventLoop loop = new EventLoop(FeedReplicaTests.this.channel.eventLoop(),
+					TaskFailureHandler.install((code, detail) -> {
+						throw new IllegalStateException(detail);
+					}), () -> FeedReplicaTests.this.nowMs);
 			this.replica = new FeedReplica(Feed.UPSTREAMS, new Sink(this.names), Source::new, loop, log, () -> {
 			}, (FeedUpdate update) -> {
 			});
@@ -174,7 +175,7 @@
 		}
 
 		@Override
-		public void renew() {
+		public void restart() {
 			this.listener.onList(new ArrayList<>(FeedReplicaTests.this.store.values()),
 					FeedReplicaTests.this.storePoint);
 		}
--- a/node/src/test/java/org/tallycart/node/store/RollbackOverridesTests.java
+++ b/node/src/test/java/org/tallycart/node/store/RollbackOverridesTests.java
@@ -31,7 +31,7 @@
 	}
 
 	private static StoredObject object(String name, long revision, String content) {
-		return StoredObject.of(name, revision, "\"" + content + "\"").get();
+		return StoredObject.parse(name, revision, "\"" + content + "\"").get();
 	}
 
 	private List<StoredObject> rollBack(Map<String, StoredObject> local, List<StoredObject> listed) {
--- a/runtime/src/main/java/org/tallycart/runtime/process/Daemon.java
+++ b/runtime/src/main/java/org/tallycart/runtime/process/Daemon.java
@@ -11,7 +11,7 @@
 	 * Name the ports listened on, as words {@code name=port}.
 	 * @return the words
 	 */
-	String addresses();
+	String listeningPorts();
 
 	/**
 	 * Stop gracefully, within the configured time.
--- a/runtime/src/main/java/org/tallycart/runtime/process/DaemonCommand.java
+++ b/runtime/src/main/java/org/tallycart/runtime/process/DaemonCommand.java
@@ -57,7 +57,7 @@
 		SettingsFile file = SettingsFile.read(Objects.requireNonNull(this.config), problems);
 		LogSettings log = LogSettings.read(file, problems);
 		S settings = read(file, problems);
-		file.finish(problems);
+		file.reportUnknownSections(problems);
 		if (!problems.isEmpty()) {
 			problems.forEach((problem) -> System.err.println(problem));
 			return ExitCode.USAGE;
@@ -80,7 +80,7 @@
 			started.get().stop();
 			stopped.countDown();
 		}, "stop"));
-		System.out.println("STARTED " + started.get().addresses());
+		System.out.println("STARTED " + started.get().listeningPorts());
 		System.out.flush();
 		stopped.await();
 		return ExitCode.OK;
--- a/runtime/src/main/java/org/tallycart/runtime/process/Guard.java
+++ b/runtime/src/main/java/org/tallycart/runtime/process/TaskFailureHandler.java
@@ -14,13 +14,13 @@
  *
  * @since 0.1
  */
-public final class Guard {
+public final class TaskFailureHandler {
 
 	private final BiConsumer<EventCode, String> events;
 
 	private final IntConsumer halt;
 
-	Guard(BiConsumer<EventCode, String> events, IntConsumer halt) {
+	TaskFailureHandler(BiConsumer<EventCode, String> events, IntConsumer halt) {
 		this.events = events;
 		this.halt = halt;
 	}
@@ -30,8 +30,8 @@
 	 * @param events takes what failed, and the event that says so; from any thread
 	 * @return the guard
 	 */
-	public static Guard install(BiConsumer<EventCode, String> events) {
-		Guard guard = new Guard(events, Runtime.getRuntime()::halt);
+	public static TaskFailureHandler install(BiConsumer<EventCode, String> events) {
+		TaskFailureHandler guard = new TaskFailureHandler(events, Runtime.getRuntime()::halt);
 		Thread.setDefaultUncaughtExceptionHandler((thread, error) -> guard.onError(thread.getName(), error));
 		return guard;
 	}
--- a/runtime/src/main/java/org/tallycart/runtime/settings/SettingsFile.java
+++ b/runtime/src/main/java/org/tallycart/runtime/settings/SettingsFile.java
@@ -69,7 +69,7 @@
 	 * Report sections that nothing has read.
 	 * @param problems where problems are added
 	 */
-	public void finish(List<Problem> problems) {
+	public void reportUnknownSections(List<Problem> problems) {
 		for (IniSection section : this.sections) {
 			if (!this.read.contains(section.name())) {
 				problems
--- a/runtime/src/main/java/org/tallycart/runtime/status/StatusServer.java
+++ b/runtime/src/main/java/org/tallycart/runtime/status/StatusServer.java
@@ -19,7 +19,7 @@
 import org.apache.hc.core5.http.io.entity.ByteArrayEntity;
 import org.apache.hc.core5.http.protocol.HttpContext;
 import org.tallycart.core.ini.Address;
-import org.tallycart.http.HttpListener;
+import org.tallycart.http.BlockingHttpServer;
 import org.tallycart.runtime.event.Event;
 import org.tallycart.runtime.event.EventLog;
 
@@ -51,7 +51,7 @@
 
 	private final Supplier<ObjectNode> status;
 
-	private HttpListener listener;
+	private BlockingHttpServer listener;
 
 	@SuppressWarnings("NullAway.Init")
 	private StatusServer(EventLog events, MetricRegistry metrics, BooleanSupplier ready, Supplier<ObjectNode> status) {
@@ -74,7 +74,7 @@
 			BooleanSupplier ready, Supplier<ObjectNode> status) {
 		ProcessMetrics.register(metrics);
 		StatusServer server = new StatusServer(events, metrics, ready, status);
-		return HttpListener.start(address, "status", MAX_CONNECTIONS, server::handle).map((listener) -> {
+		return BlockingHttpServer.start(address, "status", MAX_CONNECTIONS, server::handle).map((listener) -> {
 			server.listener = listener;
 			return server;
 		});
--- a/runtime/src/test/java/org/tallycart/runtime/process/GuardTests.java
+++ b/runtime/src/test/java/org/tallycart/runtime/process/TaskFailureHandlerTests.java
@@ -12,15 +12,16 @@
 import static org.testng.Assert.assertEquals;
 
 /**
- * Tests for {@link Guard}.
+ * Tests for {@link TaskFailureHandler}.
  */
-public class GuardTests {
+public class TaskFailureHandlerTests {
 
 	private final List<EventCode> reported = new ArrayList<>();
 
 	private final List<Integer> halts = new ArrayList<>();
 
-	private final Guard guard = new Guard((code, detail) -> this.reported.add(code), this.halts::add);
+	private final TaskFailureHandler guard = new TaskFailureHandler((code, detail) -> this.reported.add(code),
+			this.halts::add);
 
 	@BeforeMethod
 	void begin() {
--- a/runtime/src/test/java/org/tallycart/runtime/settings/SettingsFileTests.java
+++ b/runtime/src/test/java/org/tallycart/runtime/settings/SettingsFileTests.java
@@ -24,7 +24,7 @@
 		SettingsFile settings = SettingsFile.read(file, problems);
 		LogSettings.read(settings, problems);
 		VmSettings.read(settings, problems);
-		settings.finish(problems);
+		settings.reportUnknownSections(problems);
 		Files.delete(file);
 		return problems.stream().map((problem) -> problem.line() + " " + problem.message()).toList();
 	}
--- a/standin/src/main/java/org/tallycart/standin/EngineStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/EngineStandin.java
@@ -47,7 +47,7 @@
 
 	private final AtomicLong cancelled = new AtomicLong();
 
-	EngineStandin(UpstreamShape shape) {
+	EngineStandin(UpstreamDefinition shape) {
 		super(shape);
 	}
 
--- a/standin/src/main/java/org/tallycart/standin/FaultProxy.java
+++ b/standin/src/main/java/org/tallycart/standin/FaultProxy.java
@@ -130,7 +130,7 @@
 	/**
 	 * Cut all connections now; new ones are made as before.
 	 */
-	public void cut() {
+	public void closeConnections() {
 		this.sockets.forEach(FaultProxy::closeQuietly);
 		this.sockets.clear();
 	}
@@ -139,7 +139,7 @@
 	 * Refuse new connections, or stop refusing them.
 	 * @param refuse whether to refuse
 	 */
-	public void refuse(boolean refuse) {
+	public void setRefusing(boolean refuse) {
 		this.refusing = refuse;
 	}
 
@@ -168,7 +168,7 @@
 		catch (IOException ex) {
 			// Nothing is accepted any more.
 		}
-		cut();
+		closeConnections();
 		this.threads.shutdownNow();
 	}
 
@@ -185,7 +185,7 @@
 		 * Delay what passes.
 		 * @param millis how long
 		 */
-		public void delay(long millis) {
+		public void setDelayMs(long millis) {
 			this.delayMs = millis;
 		}
 
@@ -193,7 +193,7 @@
 		 * Hold everything back, or let it go.
 		 * @param freeze whether to hold
 		 */
-		public void freeze(boolean freeze) {
+		public void setFrozen(boolean freeze) {
 			this.frozen = freeze;
 		}
 
@@ -201,7 +201,7 @@
 		 * Drop everything silently, or stop doing so.
 		 * @param drop whether to drop
 		 */
-		public void drop(boolean drop) {
+		public void setDropping(boolean drop) {
 			this.dropping = drop;
 		}
 
--- a/standin/src/main/java/org/tallycart/standin/PlatformStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/PlatformStandin.java
@@ -44,7 +44,7 @@
 
 	private final Map<String, List<byte[]>> objects = new HashMap<>();
 
-	private final List<VmListEntry> vmLists = new ArrayList<>();
+	private final List<VmListVersion> vmLists = new ArrayList<>();
 
 	private final Map<String, LongAdder> calls = new ConcurrentHashMap<>();
 
@@ -97,7 +97,7 @@
 	}
 
 	private synchronized void addVmList(String text) {
-		this.vmLists.add(new VmListEntry(System.nanoTime(), text));
+		this.vmLists.add(new VmListVersion(System.nanoTime(), text));
 	}
 
 	private synchronized void vms(ClassicHttpRequest request, ClassicHttpResponse response) {
@@ -137,7 +137,7 @@
 
 	private void get(String name, ClassicHttpRequest request, ClassicHttpResponse response) throws IOException {
 		long after = number(request, "after");
-		Found found = find(name, after, number(request, "wait-ms"));
+		VersionedValue found = find(name, after, number(request, "wait-ms"));
 		if (this.faults.outage()) {
 			throw new IOException("outage");
 		}
@@ -153,7 +153,7 @@
 		}
 	}
 
-	private synchronized Found find(String name, long after, long waitMs) throws IOException {
+	private synchronized VersionedValue find(String name, long after, long waitMs) throws IOException {
 		long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
 		List<byte[]> versions = this.objects.get(name);
 		while ((versions == null || versions.size() <= after) && System.nanoTime() < untilNs && !this.faults.outage()) {
@@ -161,10 +161,10 @@
 			versions = this.objects.get(name);
 		}
 		if (versions == null || versions.isEmpty()) {
-			return new Found(0, new byte[0]);
+			return new VersionedValue(0, new byte[0]);
 		}
 		int version = (this.faults.oldReads() && versions.size() > 1) ? versions.size() - 1 : versions.size();
-		return new Found(version, versions.get(version - 1));
+		return new VersionedValue(version, versions.get(version - 1));
 	}
 
 	private void waitUntil(long untilNs) throws IOException {
@@ -196,10 +196,10 @@
 		}
 	}
 
-	private record VmListEntry(long sinceNs, String text) {
+	private record VmListVersion(long sinceNs, String text) {
 	}
 
-	private record Found(int version, byte[] value) {
+	private record VersionedValue(int version, byte[] value) {
 	}
 
 }
--- a/standin/src/main/java/org/tallycart/standin/PoolStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/PoolStandin.java
@@ -21,7 +21,7 @@
 
 	private static final int BYTE = 256;
 
-	PoolStandin(UpstreamShape shape) {
+	PoolStandin(UpstreamDefinition shape) {
 		super(shape);
 	}
 
--- a/standin/src/main/java/org/tallycart/standin/ServiceStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/ServiceStandin.java
@@ -26,7 +26,7 @@
 
 	private final Map<String, Integer> runsByMarker = new ConcurrentHashMap<>();
 
-	ServiceStandin(UpstreamShape shape) {
+	ServiceStandin(UpstreamDefinition shape) {
 		super(shape);
 	}
 
--- a/standin/src/main/java/org/tallycart/standin/SlotGate.java
+++ b/standin/src/main/java/org/tallycart/standin/SlotScheduler.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-final class SlotGate {
+final class SlotScheduler {
 
 	private final int slots;
 
@@ -28,9 +28,9 @@
 
 	private int running;
 
-	private final Deque<Sample> samples = new ArrayDeque<>();
+	private final Deque<LoadSample> samples = new ArrayDeque<>();
 
-	SlotGate(int slots) {
+	SlotScheduler(int slots) {
 		this.slots = slots;
 	}
 
@@ -90,18 +90,18 @@
 	}
 
 	private void record() {
-		this.samples.addLast(new Sample(System.nanoTime(), this.running, this.high.size() + this.low.size()));
+		this.samples.addLast(new LoadSample(System.nanoTime(), this.running, this.high.size() + this.low.size()));
 		while (this.samples.size() > 10_000) {
 			this.samples.removeFirst();
 		}
 	}
 
-	Sample report(long lagMs) {
+	LoadSample report(long lagMs) {
 		this.lock.lock();
 		try {
 			long atNs = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(lagMs);
-			Sample found = new Sample(0, 0, 0);
-			for (Sample sample : this.samples) {
+			LoadSample found = new LoadSample(0, 0, 0);
+			for (LoadSample sample : this.samples) {
 				if (sample.atNs > atNs) {
 					break;
 				}
@@ -114,7 +114,7 @@
 		}
 	}
 
-	record Sample(long atNs, int running, int waiting) {
+	record LoadSample(long atNs, int running, int waiting) {
 	}
 
 }
--- a/standin/src/main/java/org/tallycart/standin/StandinMain.java
+++ b/standin/src/main/java/org/tallycart/standin/StandinMain.java
@@ -15,7 +15,7 @@
 import org.tallycart.core.ini.IniSection;
 import org.tallycart.core.ini.Problem;
 import org.tallycart.core.ini.SectionReader;
-import org.tallycart.http.HttpListener;
+import org.tallycart.http.BlockingHttpServer;
 import org.tallycart.runtime.process.DaemonCommand;
 import org.tallycart.runtime.process.ExitCode;
 import org.tallycart.runtime.process.VersionProvider;
@@ -61,14 +61,15 @@
 		StringBuilder started = new StringBuilder("STARTED");
 		for (IniSection section : sections) {
 			SectionReader reader = SectionReader.of(section, problems);
-			UpstreamShape shape = shape(section, reader);
+			UpstreamDefinition shape = shape(section, reader);
 			reader.reportUnknownKeys();
 			if (!problems.isEmpty()) {
 				problems.forEach((problem) -> System.err.println(problem));
 				return ExitCode.USAGE;
 			}
-			Either<String, HttpListener> listener = HttpListener.start(new Address("127.0.0.1", shape.port()),
-					section.id(), MAX_CONNECTIONS, standin(section.kind(), shape));
+			Either<String, BlockingHttpServer> listener = BlockingHttpServer.start(
+					new Address("127.0.0.1", shape.port()), section.id(), MAX_CONNECTIONS,
+					standin(section.kind(), shape));
 			if (listener.isLeft()) {
 				System.err.println(listener.getLeft());
 				return ExitCode.FAILED;
@@ -81,14 +82,14 @@
 		return ExitCode.OK;
 	}
 
-	private static UpstreamShape shape(IniSection section, SectionReader reader) {
-		return new UpstreamShape(section.id(), reader.text("kind", "platform"),
+	private static UpstreamDefinition shape(IniSection section, SectionReader reader) {
+		return new UpstreamDefinition(section.id(), reader.text("kind", "platform"),
 				(int) reader.number("port", 0, 0, MAX_PORT), (int) reader.number("slots", 4, 1, MAX_SLOTS),
 				reader.decimal("base-ms", 5, 0, MAX_MS), reader.decimal("token-ms", 2, 0, MAX_MS),
 				reader.number("seed", section.id().hashCode(), Long.MIN_VALUE, Long.MAX_VALUE));
 	}
 
-	private static HttpRequestHandler standin(String section, UpstreamShape shape) {
+	private static HttpRequestHandler standin(String section, UpstreamDefinition shape) {
 		if (section.equals("platform")) {
 			return new PlatformStandin();
 		}
