--- a/standin/src/main/java/org/tallycart/standin/UpstreamShape.java
+++ b/standin/src/main/java/org/tallycart/standin/UpstreamDefinition.java
@@ -12,5 +12,6 @@
  * @param seed of its jitter and faults
  * @since 0.1
  */
-public record UpstreamShape(String id, String kind, int port, int slots, double baseMs, double tokenMs, long seed) {
+public record UpstreamDefinition(String id, String kind, int port, int slots, double baseMs, double tokenMs,
+		long seed) {
 }
--- a/standin/src/main/java/org/tallycart/standin/UpstreamStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/UpstreamStandin.java
@@ -36,11 +36,11 @@
 
 	private static final Pattern MARKER = Pattern.compile("\\[#([A-Za-z0-9_-]+)]");
 
-	private final UpstreamShape shape;
+	private final UpstreamDefinition shape;
 
 	private final UpstreamFaults faults;
 
-	private final SlotGate gate;
+	private final SlotScheduler gate;
 
 	private final Random random;
 
@@ -48,10 +48,10 @@
 
 	private volatile long lastNewWorkMs;
 
-	UpstreamStandin(UpstreamShape shape) {
+	UpstreamStandin(UpstreamDefinition shape) {
 		this.shape = shape;
 		this.faults = new UpstreamFaults(shape.seed());
-		this.gate = new SlotGate(shape.slots());
+		this.gate = new SlotScheduler(shape.slots());
 		this.random = new Random(shape.seed());
 	}
 
@@ -70,7 +70,7 @@
 	}
 
 	private void report(ClassicHttpResponse response) throws IOException {
-		SlotGate.Sample sample = this.gate.report(this.faults.reportLagMs());
+		SlotScheduler.LoadSample sample = this.gate.report(this.faults.reportLagMs());
 		JsonHttp.answer(response, OK,
 				JsonHttp.JSON.createObjectNode()
 					.put("running", sample.running())
@@ -151,7 +151,7 @@
 		return this.gate.running();
 	}
 
-	final UpstreamShape shape() {
+	final UpstreamDefinition shape() {
 		return this.shape;
 	}
 
--- a/steward/src/main/java/org/tallycart/steward/ClaimMessages.java
+++ b/steward/src/main/java/org/tallycart/steward/ClaimMessageCodec.java
@@ -22,9 +22,9 @@
  *
  * @since 0.1
  */
-final class ClaimMessages {
+final class ClaimMessageCodec {
 
-	private ClaimMessages() {
+	private ClaimMessageCodec() {
 	}
 
 	static ClaimHolder holder(Claimant claimant) {
--- a/steward/src/main/java/org/tallycart/steward/ControlThread.java
+++ b/steward/src/main/java/org/tallycart/steward/ControlThread.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 
 /**
  * The one thread on which all of a steward's state is read and changed.
@@ -13,7 +13,7 @@
  *
  * @since 0.1
  */
-final class ControlThread implements Control, AutoCloseable {
+final class ControlThread implements SerialExecutor, AutoCloseable {
 
 	private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor((task) -> {
 		Thread thread = new Thread(task, "control");
@@ -21,9 +21,9 @@
 		return thread;
 	});
 
-	private final Guard guard;
+	private final TaskFailureHandler guard;
 
-	ControlThread(Guard guard) {
+	ControlThread(TaskFailureHandler guard) {
 		this.guard = guard;
 	}
 
--- a/steward/src/main/java/org/tallycart/steward/EntryFeed.java
+++ b/steward/src/main/java/org/tallycart/steward/EntryFeed.java
@@ -46,12 +46,12 @@
 	}
 
 	void push() {
-		this.subscribers.removeIf((subscriber) -> !subscriber.peer.open());
+		this.subscribers.removeIf((subscriber) -> !subscriber.peer.isOpen());
 		this.subscribers.forEach(this::push);
 	}
 
 	private void push(Subscriber subscriber) {
-		Summary now = new Summary(this.state.manifest().version(), version(RegisterName.SLOTS),
+		StateSummary now = new StateSummary(this.state.manifest().version(), version(RegisterName.SLOTS),
 				version(RegisterName.VMS), this.state.leaving().size(), this.activeVms.getAsInt(),
 				this.ready.getAsBoolean());
 		if (now.equals(subscriber.told)) {
@@ -98,7 +98,7 @@
 
 		private final Set<String> sent = new HashSet<>();
 
-		private @Nullable Summary told;
+		private @Nullable StateSummary told;
 
 		private Subscriber(WirePeer peer) {
 			this.peer = peer;
@@ -107,7 +107,7 @@
 	}
 
 	/** What an entry was told, in short. */
-	private record Summary(long config, long slots, long vms, int leaving, int activeVms, boolean ready) {
+	private record StateSummary(long config, long slots, long vms, int leaving, int activeVms, boolean ready) {
 	}
 
 }
--- a/steward/src/main/java/org/tallycart/steward/FleetState.java
+++ b/steward/src/main/java/org/tallycart/steward/FleetState.java
@@ -48,7 +48,7 @@
 
 	private VmList vms = VmList.EMPTY;
 
-	private @Nullable Pending pending;
+	private @Nullable PendingConfig pending;
 
 	FleetState(EventLog events, int slotCount) {
 		this.events = events;
@@ -106,7 +106,7 @@
 			return true;
 		}
 		if (this.pending == null || this.pending.manifest.version() < version) {
-			this.pending = new Pending(decoded.get(), value);
+			this.pending = new PendingConfig(decoded.get(), value);
 		}
 		return false;
 	}
@@ -159,7 +159,7 @@
 			return;
 		}
 		this.blobs.put(digest, value);
-		Pending waiting = this.pending;
+		PendingConfig waiting = this.pending;
 		if (waiting != null && missing(waiting.manifest).isEmpty()) {
 			this.pending = null;
 			offer(RegisterName.CONFIG, waiting.manifest.version(), waiting.value, source);
@@ -225,7 +225,7 @@
 		return new String(value, StandardCharsets.UTF_8);
 	}
 
-	private record Pending(Manifest manifest, byte[] value) {
+	private record PendingConfig(Manifest manifest, byte[] value) {
 	}
 
 }
--- a/steward/src/main/java/org/tallycart/steward/Gossip.java
+++ b/steward/src/main/java/org/tallycart/steward/Gossip.java
@@ -43,9 +43,9 @@
 
 	private final FleetState state;
 
-	private final Peers peers;
+	private final PeerDirectory peers;
 
-	private final Control control;
+	private final SerialExecutor control;
 
 	private final LongSupplier monotonicMs;
 
@@ -61,7 +61,8 @@
 
 	private int answersPending;
 
-	Gossip(FleetState state, Peers peers, Control control, LongSupplier monotonicMs, Random random, int fanout) {
+	Gossip(FleetState state, PeerDirectory peers, SerialExecutor control, LongSupplier monotonicMs, Random random,
+			int fanout) {
 		this.state = state;
 		this.peers = peers;
 		this.control = control;
--- a/steward/src/main/java/org/tallycart/steward/SpreadMeasurement.java
+++ b/steward/src/main/java/org/tallycart/steward/GossipSimulation.java
@@ -41,7 +41,7 @@
  *
  * @since 0.1
  */
-public final class SpreadMeasurement {
+public final class GossipSimulation {
 
 	private static final int DOMAINS = 11;
 
@@ -63,12 +63,12 @@
 
 	private final Random random;
 
-	private final List<Member> members = new ArrayList<>();
+	private final List<SimulatedSteward> members = new ArrayList<>();
 
-	private final Map<Address, Member> byAddress = new HashMap<>();
+	private final Map<Address, SimulatedSteward> byAddress = new HashMap<>();
 
-	private final PriorityQueue<Task> tasks = new PriorityQueue<>(
-			Comparator.comparingLong((Task task) -> task.atMs).thenComparingLong((task) -> task.order));
+	private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+			Comparator.comparingLong((ScheduledTask task) -> task.atMs).thenComparingLong((task) -> task.order));
 
 	private long nowMs;
 
@@ -78,7 +78,7 @@
 
 	private long bytes;
 
-	private SpreadMeasurement(long seed) {
+	private GossipSimulation(long seed) {
 		this.random = new Random(seed);
 	}
 
@@ -90,28 +90,28 @@
 	 * @return what was measured
 	 */
 	public static Result measure(int size, int workspaces, int lossPercent) {
-		return new SpreadMeasurement(size).run(size, workspaces, lossPercent);
+		return new GossipSimulation(size).run(size, workspaces, lossPercent);
 	}
 
 	private Result run(int size, int workspaces, int lossPercent) {
 		VmList list = list(size);
 		for (Vm vm : list.vms()) {
-			Member member = new Member(vm, lossPercent);
+			SimulatedSteward member = new SimulatedSteward(vm, lossPercent);
 			this.members.add(member);
 			this.byAddress.put(vm.address(), member);
 		}
 		byte[] listBytes = list.encode().getBytes(StandardCharsets.UTF_8);
 		Config first = Config.of(Manifest.EMPTY, workspaces, 0);
-		for (Member member : this.members) {
+		for (SimulatedSteward member : this.members) {
 			member.state.offer(RegisterName.VMS, 1, listBytes, "start");
 			first.offerTo(member.state);
 			schedule(this.random.nextInt((int) HEARTBEAT_MS), member::beat);
 		}
 		runUntil(SETTLE_MS);
-		Phase idle = phase(IDLE_MS);
+		TrafficSample idle = phase(IDLE_MS);
 		Config second = Config.of(first.manifest, workspaces, 1);
 		long changedMs = this.nowMs;
-		for (Member member : this.members) {
+		for (SimulatedSteward member : this.members) {
 			if (WatcherSelection.isWatcher(member.vm.id(), member.vm.domain(), list)) {
 				schedule(this.random.nextInt((int) LATENCY_MS + 1), () -> {
 					second.offerTo(member.state);
@@ -139,12 +139,12 @@
 		return count * 1_000.0 / millis / this.members.size();
 	}
 
-	private Phase phase(long millis) {
+	private TrafficSample phase(long millis) {
 		long messagesBefore = this.messages;
 		long bytesBefore = this.bytes;
 		long cpuBefore = cpuNs();
 		runUntil(this.nowMs + millis);
-		return new Phase(this.messages - messagesBefore, this.bytes - bytesBefore, cpuNs() - cpuBefore);
+		return new TrafficSample(this.messages - messagesBefore, this.bytes - bytesBefore, cpuNs() - cpuBefore);
 	}
 
 	private static long cpuNs() {
@@ -165,12 +165,12 @@
 	}
 
 	private void schedule(long delayMs, Runnable action) {
-		this.tasks.add(new Task(this.nowMs + delayMs, this.order++, action));
+		this.tasks.add(new ScheduledTask(this.nowMs + delayMs, this.order++, action));
 	}
 
 	private void runUntil(long untilMs) {
 		while (!this.tasks.isEmpty() && this.tasks.peek().atMs <= untilMs) {
-			Task task = this.tasks.remove();
+			ScheduledTask task = this.tasks.remove();
 			this.nowMs = task.atMs;
 			task.action.run();
 		}
@@ -211,10 +211,10 @@
 			double cpuPercent, double messagesPerChange, double bytesPerChange, int listBytes, int configBytes) {
 	}
 
-	private record Phase(long messages, long bytes, long cpuNs) {
+	private record TrafficSample(long messages, long bytes, long cpuNs) {
 	}
 
-	private record Task(long atMs, long order, Runnable action) {
+	private record ScheduledTask(long atMs, long order, Runnable action) {
 	}
 
 	/** A configuration with its parts. */
@@ -254,7 +254,7 @@
 	}
 
 	/** One steward. */
-	private final class Member {
+	private final class SimulatedSteward {
 
 		private final Vm vm;
 
@@ -264,13 +264,14 @@
 
 		private final Gossip gossip;
 
-		Member(Vm vm, int lossPercent) {
+		SimulatedSteward(Vm vm, int lossPercent) {
 			this.vm = vm;
 			this.lossPercent = lossPercent;
 			EventLog events = EventLog.create(vm.id(), 1, new HybridClock(), Clocks.SYSTEM);
 			this.state = new FleetState(events, 1);
-			Peers peers = new Peers(vm.id(), this.state, (address) -> new Line(this, address), List.of(), events);
-			this.gossip = new Gossip(this.state, peers, (name, task) -> task.run(), () -> SpreadMeasurement.this.nowMs,
+			PeerDirectory peers = new PeerDirectory(vm.id(), this.state,
+					(address) -> new SimulatedConnection(this, address), List.of(), events);
+			this.gossip = new Gossip(this.state, peers, (name, task) -> task.run(), () -> GossipSimulation.this.nowMs,
 					new Random(vm.id().hashCode()), FANOUT);
 		}
 
@@ -280,7 +281,7 @@
 		}
 
 		boolean loses() {
-			return SpreadMeasurement.this.random.nextInt(100) < this.lossPercent;
+			return GossipSimulation.this.random.nextInt(100) < this.lossPercent;
 		}
 
 		Envelope stamped(Envelope.Builder message) {
@@ -304,13 +305,13 @@
 	}
 
 	/** A connection from one steward to another. */
-	private final class Line implements WireCaller {
+	private final class SimulatedConnection implements WireCaller {
 
-		private final Member from;
+		private final SimulatedSteward from;
 
 		private final Address to;
 
-		Line(Member from, Address to) {
+		SimulatedConnection(SimulatedSteward from, Address to) {
 			this.from = from;
 			this.to = to;
 		}
@@ -318,7 +319,7 @@
 		@Override
 		public CompletableFuture<Either<WireError, Envelope>> call(Envelope.Builder message, long timeoutMs) {
 			CompletableFuture<Either<WireError, Envelope>> reply = new CompletableFuture<>();
-			Member target = SpreadMeasurement.this.byAddress.get(this.to);
+			SimulatedSteward target = GossipSimulation.this.byAddress.get(this.to);
 			Envelope carried = carry(this.from.stamped(message));
 			if (target == null || this.from.loses()) {
 				schedule(timeoutMs, () -> reply.complete(Either.left(WireError.TIMED_OUT)));
@@ -333,7 +334,7 @@
 
 		@Override
 		public void send(Envelope.Builder message) {
-			Member target = SpreadMeasurement.this.byAddress.get(this.to);
+			SimulatedSteward target = GossipSimulation.this.byAddress.get(this.to);
 			Envelope carried = carry(this.from.stamped(message));
 			if (target != null && !this.from.loses()) {
 				schedule(latencyMs(), () -> target.handle(carried));
--- a/steward/src/main/java/org/tallycart/steward/Peers.java
+++ b/steward/src/main/java/org/tallycart/steward/PeerDirectory.java
@@ -25,7 +25,7 @@
  *
  * @since 0.1
  */
-final class Peers {
+final class PeerDirectory {
 
 	private static final long ACTIVE_BASE_MS = 5_000;
 
@@ -45,7 +45,7 @@
 
 	private final Map<Address, WireCaller> clients = new HashMap<>();
 
-	Peers(String self, FleetState state, Function<Address, ? extends WireCaller> connect, List<Address> seeds,
+	PeerDirectory(String self, FleetState state, Function<Address, ? extends WireCaller> connect, List<Address> seeds,
 			EventLog events) {
 		this.self = self;
 		this.state = state;
--- a/steward/src/main/java/org/tallycart/steward/PlatformLink.java
+++ b/steward/src/main/java/org/tallycart/steward/PlatformReplicator.java
@@ -17,7 +17,7 @@
 import org.tallycart.runtime.event.EventCode;
 import org.tallycart.runtime.event.EventLog;
 import org.tallycart.runtime.process.Clocks;
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 
 /**
  * Reads the registers from the platform's service and offers them to the fleet state.
@@ -28,7 +28,7 @@
  *
  * @since 0.1
  */
-final class PlatformLink implements AutoCloseable {
+final class PlatformReplicator implements AutoCloseable {
 
 	private static final int THREADS = 4;
 
@@ -42,7 +42,7 @@
 
 	private final StewardSettings settings;
 
-	private final Guard guard;
+	private final TaskFailureHandler guard;
 
 	private final Runnable onNews;
 
@@ -62,8 +62,8 @@
 
 	private int registersRead;
 
-	PlatformLink(ObjectStore store, FleetState state, ControlThread control, EventLog events, Guard guard,
-			StewardSettings settings, Runnable onNews) {
+	PlatformReplicator(ObjectStore store, FleetState state, ControlThread control, EventLog events,
+			TaskFailureHandler guard, StewardSettings settings, Runnable onNews) {
 		this.store = store;
 		this.state = state;
 		this.control = control;
@@ -90,7 +90,7 @@
 		this.nextReadMs = nowMs + ((watcher || !known) ? this.settings.pollMs() : this.settings.backgroundMs());
 		readSlots();
 		long listVersion = this.state.register(RegisterName.VMS).version();
-		submit(() -> this.store.vmList(listVersion), (value) -> take(RegisterName.VMS, value));
+		submit(() -> this.store.readVmList(listVersion), (value) -> take(RegisterName.VMS, value));
 		if (!watcher || !known) {
 			readNewer(RegisterName.CONFIG);
 		}
--- a/steward/src/main/java/org/tallycart/steward/Control.java
+++ b/steward/src/main/java/org/tallycart/steward/SerialExecutor.java
@@ -6,7 +6,7 @@
  * @since 0.1
  */
 @FunctionalInterface
-interface Control {
+interface SerialExecutor {
 
 	/**
 	 * Run a task after those before it.
--- a/steward/src/main/java/org/tallycart/steward/SlotKeeper.java
+++ b/steward/src/main/java/org/tallycart/steward/SlotOwnershipManager.java
@@ -44,7 +44,7 @@
  *
  * @since 0.1
  */
-final class SlotKeeper {
+final class SlotOwnershipManager {
 
 	private static final long HANDOVER_TIMEOUT_MS = 2_000;
 
@@ -52,9 +52,9 @@
 
 	private final FleetState state;
 
-	private final Peers peers;
+	private final PeerDirectory peers;
 
-	private final PlatformLink platform;
+	private final PlatformReplicator platform;
 
 	private final ControlThread control;
 
@@ -68,12 +68,12 @@
 
 	private @Nullable SlotChange unresolved;
 
-	private @Nullable Inputs settled;
+	private @Nullable PlanInputs settled;
 
 	private long handoverSequence;
 
-	SlotKeeper(WireIdentity identity, FleetState state, Peers peers, PlatformLink platform, ControlThread control,
-			EventLog events, ClaimTable claims) {
+	SlotOwnershipManager(WireIdentity identity, FleetState state, PeerDirectory peers, PlatformReplicator platform,
+			ControlThread control, EventLog events, ClaimTable claims) {
 		this.identity = identity;
 		this.state = state;
 		this.peers = peers;
@@ -112,8 +112,8 @@
 			return;
 		}
 		List<String> active = new ArrayList<>(this.peers.active(Clocks.SYSTEM.monotonicMs()));
-		Inputs inputs = new Inputs(this.state.register(RegisterName.SLOTS).version(), this.state.vms().version(),
-				this.draining, Set.copyOf(active));
+		PlanInputs inputs = new PlanInputs(this.state.register(RegisterName.SLOTS).version(),
+				this.state.vms().version(), this.draining, Set.copyOf(active));
 		if (inputs.equals(this.settled)) {
 			return;
 		}
@@ -148,7 +148,7 @@
 		this.busy = true;
 		List<SlotHandover> moved = this.claims.seal(slots);
 		HandoverCall.Builder call = HandoverCall.newBuilder().setSequence(++this.handoverSequence);
-		moved.forEach((handover) -> call.addSlots(ClaimMessages.slotClaims(handover)));
+		moved.forEach((handover) -> call.addSlots(ClaimMessageCodec.slotClaims(handover)));
 		client.call(Envelope.newBuilder().setHandoverCall(call), HANDOVER_TIMEOUT_MS)
 			.thenAccept((reply) -> this.control.execute("handover", () -> offered(vm, slots, reply)));
 	}
@@ -241,23 +241,23 @@
 		if (key.isLeft()) {
 			return ClaimAnswer.newBuilder().setStatus(ClaimAnswer.Status.NOT_OWNER).build();
 		}
-		ClaimHolder asker = ClaimMessages.holder(call.getClaimant());
+		ClaimHolder asker = ClaimMessageCodec.holder(call.getClaimant());
 		ClaimReply reply = this.claims.claim(key.get(), asker, call.getKnownTerm(), Clocks.SYSTEM.wallMs());
 		this.events.emit(EventCode.CLAIM_ANSWERED, SubmissionId.requestIdOf(asker.attemptId()),
 				call.getKey() + " " + reply.status());
-		return ClaimMessages.answer(reply);
+		return ClaimMessageCodec.answer(reply);
 	}
 
 	boolean onFinish(ClaimFinish finish) {
 		return IdempotencyKey.parse(finish.getKey())
-			.map((key) -> this.claims.finish(key, ClaimMessages.holder(finish.getClaimant()),
+			.map((key) -> this.claims.finish(key, ClaimMessageCodec.holder(finish.getClaimant()),
 					finish.getResult().toByteArray()))
 			.getOrElse(false);
 	}
 
 	boolean onRelease(ClaimRelease release) {
 		return IdempotencyKey.parse(release.getKey())
-			.map((key) -> this.claims.release(key, ClaimMessages.holder(release.getClaimant())))
+			.map((key) -> this.claims.release(key, ClaimMessageCodec.holder(release.getClaimant())))
 			.getOrElse(false);
 	}
 
@@ -267,7 +267,7 @@
 		}
 		boolean all = true;
 		List<Integer> slots = new ArrayList<>();
-		for (SlotHandover handover : ClaimMessages.handovers(call)) {
+		for (SlotHandover handover : ClaimMessageCodec.handovers(call)) {
 			all &= this.claims.stage(handover);
 			slots.add(handover.slot());
 		}
@@ -291,7 +291,7 @@
 	/**
 	 * What a plan is made from; while it stays the same, there is nothing to do again.
 	 */
-	private record Inputs(long slotsVersion, long vmsVersion, boolean draining, Set<String> active) {
+	private record PlanInputs(long slotsVersion, long vmsVersion, boolean draining, Set<String> active) {
 	}
 
 }
--- a/steward/src/main/java/org/tallycart/steward/Steward.java
+++ b/steward/src/main/java/org/tallycart/steward/Steward.java
@@ -17,7 +17,7 @@
 import org.tallycart.runtime.event.EventLog;
 import org.tallycart.runtime.process.Clocks;
 import org.tallycart.runtime.process.Daemon;
-import org.tallycart.runtime.process.Guard;
+import org.tallycart.runtime.process.TaskFailureHandler;
 import org.tallycart.runtime.status.StatusServer;
 import org.tallycart.wire.WireIdentity;
 import org.tallycart.wire.WirePeer;
@@ -61,15 +61,15 @@
 
 	private final FleetState state;
 
-	private final Peers peers;
+	private final PeerDirectory peers;
 
 	private final Gossip gossip;
 
-	private final PlatformLink platform;
+	private final PlatformReplicator platform;
 
-	private final SlotKeeper slots;
+	private final SlotOwnershipManager slots;
 
-	private final ShareKeeper shares;
+	private final WorkspaceShareCoordinator shares;
 
 	private final EntryFeed feed;
 
@@ -91,20 +91,20 @@
 		String vm = settings.vm().id();
 		HybridClock clock = new HybridClock();
 		this.events = EventLog.create("steward@" + vm, EVENTS_KEPT, clock, Clocks.SYSTEM);
-		Guard guard = Guard.install(this.events::emit);
+		TaskFailureHandler guard = TaskFailureHandler.install(this.events::emit);
 		this.control = new ControlThread(guard);
 		WireIdentity identity = new WireIdentity(vm, Clocks.SYSTEM.wallMs(), clock, Clocks.SYSTEM::wallMs);
 		this.transport = WireTransport.create(identity);
 		this.store = HttpObjectStore.create(settings.platform(), settings.platformTimeoutMs(), vm);
 		this.state = new FleetState(this.events, settings.slotCount());
-		this.peers = new Peers(vm, this.state, this.transport::client, settings.seeds(), this.events);
+		this.peers = new PeerDirectory(vm, this.state, this.transport::client, settings.seeds(), this.events);
 		this.gossip = new Gossip(this.state, this.peers, this.control, Clocks.SYSTEM::monotonicMs,
 				new Random(vm.hashCode()), settings.fanout());
-		this.platform = new PlatformLink(this.store, this.state, this.control, this.events, guard, settings,
+		this.platform = new PlatformReplicator(this.store, this.state, this.control, this.events, guard, settings,
 				this.gossip::round);
-		this.slots = new SlotKeeper(identity, this.state, this.peers, this.platform, this.control, this.events,
-				ClaimTable.create(vm, identity.incarnation(), settings.window()));
-		this.shares = new ShareKeeper(vm, this.peers);
+		this.slots = new SlotOwnershipManager(identity, this.state, this.peers, this.platform, this.control,
+				this.events, ClaimTable.create(vm, identity.incarnation(), settings.window()));
+		this.shares = new WorkspaceShareCoordinator(vm, this.peers);
 		this.feed = new EntryFeed(this.state, this::activeVms, () -> this.ready);
 	}
 
@@ -143,7 +143,7 @@
 			this.shares.prune();
 			this.feed.push();
 		});
-		this.events.emit(EventCode.PROCESS_STARTED, addresses());
+		this.events.emit(EventCode.PROCESS_STARTED, listeningPorts());
 	}
 
 	private void markLeavingVms() {
@@ -258,7 +258,7 @@
 	}
 
 	@Override
-	public String addresses() {
+	public String listeningPorts() {
 		return "peer=" + this.server.port() + " status=" + this.status.port();
 	}
 
--- a/steward/src/main/java/org/tallycart/steward/ShareKeeper.java
+++ b/steward/src/main/java/org/tallycart/steward/WorkspaceShareCoordinator.java
@@ -25,7 +25,7 @@
  *
  * @since 0.1
  */
-final class ShareKeeper {
+final class WorkspaceShareCoordinator {
 
 	private static final long CALL_TIMEOUT_MS = 800;
 
@@ -33,11 +33,11 @@
 
 	private final String self;
 
-	private final Peers peers;
+	private final PeerDirectory peers;
 
-	private final Map<String, Home> homes = new HashMap<>();
+	private final Map<String, WorkspaceAllocator> homes = new HashMap<>();
 
-	ShareKeeper(String self, Peers peers) {
+	WorkspaceShareCoordinator(String self, PeerDirectory peers) {
 		this.self = self;
 		this.peers = peers;
 	}
@@ -86,8 +86,8 @@
 		long nowMs = Clocks.SYSTEM.monotonicMs();
 		ShareAnswer.Builder answer = ShareAnswer.newBuilder();
 		for (ShareDemand demand : report.getDemandsList()) {
-			Home home = this.homes.computeIfAbsent(demand.getWorkspace(),
-					(key) -> new Home(ShareAllocator.create(nowMs)));
+			WorkspaceAllocator home = this.homes.computeIfAbsent(demand.getWorkspace(),
+					(key) -> new WorkspaceAllocator(ShareAllocator.create(nowMs)));
 			home.usedMs = nowMs;
 			double rate = home.shares.allocate(new ShareRequest(demand.getWorkspace(), vm, demand.getDemandPerSecond(),
 					demand.getHoldsPerSecond()), demand.getLimitPerSecond(), nowMs);
@@ -101,13 +101,13 @@
 		this.homes.values().removeIf((home) -> nowMs - home.usedMs > IDLE_MS);
 	}
 
-	private static final class Home {
+	private static final class WorkspaceAllocator {
 
 		private final ShareAllocator shares;
 
 		private long usedMs;
 
-		private Home(ShareAllocator shares) {
+		private WorkspaceAllocator(ShareAllocator shares) {
 			this.shares = shares;
 		}
 
--- a/testbed/src/main/java/org/tallycart/testbed/Waiting.java
+++ b/testbed/src/main/java/org/tallycart/testbed/Await.java
@@ -9,11 +9,11 @@
  *
  * @since 0.1
  */
-public final class Waiting {
+public final class Await {
 
 	private static final long STEP_MS = 20;
 
-	private Waiting() {
+	private Await() {
 	}
 
 	/**
@@ -28,7 +28,7 @@
 			if (System.nanoTime() > untilNs) {
 				throw new IllegalStateException("not within " + timeoutMs + " ms: " + what);
 			}
-			pause(STEP_MS);
+			sleep(STEP_MS);
 		}
 	}
 
@@ -36,7 +36,7 @@
 	 * Wait.
 	 * @param millis how long
 	 */
-	public static void pause(long millis) {
+	public static void sleep(long millis) {
 		try {
 			Thread.sleep(Math.max(millis, 0));
 		}
--- a/testbed/src/main/java/org/tallycart/testbed/Capacity.java
+++ b/testbed/src/main/java/org/tallycart/testbed/CapacityCommand.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Callable;
 
 import org.tallycart.runtime.process.ExitCode;
-import org.tallycart.steward.SpreadMeasurement;
+import org.tallycart.steward.GossipSimulation;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -18,7 +18,7 @@
  */
 @Command(name = "capacity", mixinStandardHelpOptions = true,
 		description = "Measure the slopes of docs/CAPACITY.md: spread, cores, processes.")
-final class Capacity implements Callable<Integer> {
+final class CapacityCommand implements Callable<Integer> {
 
 	private static final long MILLIS = 1_000;
 
@@ -46,13 +46,13 @@
 			spread();
 		}
 		if (wants("cores")) {
-			CoreMeasurement.print(System.out);
+			CoreBenchmark.print(System.out);
 		}
 		if (wants("stewards")) {
-			ProcessMeasurement.stewards(System.out, this.settleS * MILLIS);
+			ProcessBenchmark.stewards(System.out, this.settleS * MILLIS);
 		}
 		if (wants("entries")) {
-			ProcessMeasurement.entries(System.out);
+			ProcessBenchmark.entries(System.out);
 		}
 		return ExitCode.OK;
 	}
@@ -65,7 +65,7 @@
 		System.out.printf("%-9s %-10s %9s %8s %8s %8s %10s %10s %10s %10s%n", "stewards", "workspaces", "spread-ms",
 				"msg/s", "bytes/s", "cpu-%", "msg/change", "B/change", "list-B", "config-B");
 		for (int size : this.sizes) {
-			SpreadMeasurement.Result result = SpreadMeasurement.measure(size, this.workspaces, this.lossPercent);
+			GossipSimulation.Result result = GossipSimulation.measure(size, this.workspaces, this.lossPercent);
 			System.out.printf("%-9d %-10d %9d %8.2f %8.0f %8.3f %10.1f %10.0f %10d %10d%n", result.size(),
 					result.workspaces(), result.spreadMs(), result.messagesPerSecond(), result.bytesPerSecond(),
 					result.cpuPercent(), result.messagesPerChange(), result.bytesPerChange(), result.listBytes(),
--- a/testbed/src/main/java/org/tallycart/testbed/CoreMeasurement.java
+++ b/testbed/src/main/java/org/tallycart/testbed/CoreBenchmark.java
@@ -36,7 +36,7 @@
  *
  * @since 0.1
  */
-final class CoreMeasurement {
+final class CoreBenchmark {
 
 	private static final int WARM_UP = 3;
 
@@ -44,7 +44,7 @@
 
 	private static final long NANOS_PER_MS = 1_000_000;
 
-	private CoreMeasurement() {
+	private CoreBenchmark() {
 	}
 
 	static void print(PrintStream out) {
--- a/testbed/src/main/java/org/tallycart/testbed/Demo.java
+++ b/testbed/src/main/java/org/tallycart/testbed/DemoCommand.java
@@ -8,10 +8,10 @@
 
 import org.tallycart.core.ini.Problem;
 import org.tallycart.ctl.TallyctlMain;
-import org.tallycart.load.CallerAnswer;
 import org.tallycart.load.CallerClient;
-import org.tallycart.load.LoadReport;
-import org.tallycart.load.LoadRun;
+import org.tallycart.load.LoadGenerator;
+import org.tallycart.load.LoadTestReport;
+import org.tallycart.load.ReceivedResponse;
 import org.tallycart.load.Scenario;
 import org.tallycart.load.Submission;
 import org.tallycart.runtime.process.ExitCode;
@@ -27,7 +27,7 @@
  */
 @Command(name = "demo", mixinStandardHelpOptions = true,
 		description = "Run both deployments' fleets on stand-ins and report attainment and cost by stage.")
-final class Demo implements Callable<Integer> {
+final class DemoCommand implements Callable<Integer> {
 
 	@Option(names = "--vms", defaultValue = "6", description = "VMs of each fleet. Default: ${DEFAULT-VALUE}")
 	private int vms;
@@ -37,29 +37,29 @@
 
 	@Override
 	public Integer call() throws IOException {
-		int wrong = run(FleetShape.bogota(this.vms), "assistant") + run(FleetShape.tunis(this.vms), "gloss");
+		int wrong = run(FleetDefinition.bogota(this.vms), "assistant") + run(FleetDefinition.tunis(this.vms), "gloss");
 		return (wrong != 0) ? ExitCode.FAILED : ExitCode.OK;
 	}
 
-	private int run(FleetShape shape, String pipeline) throws IOException {
+	private int run(FleetDefinition shape, String pipeline) throws IOException {
 		System.out.println("== " + shape.name() + ": " + shape.vms() + " VMs, failure domains " + shape.domains());
 		try (LocalFleet fleet = LocalFleet.start(shape)) {
 			Scenario scenario = scenario(shape.name()).withDuration(this.durationS * 1_000L);
-			LoadReport report = LoadRun.run(scenario, fleet::entries);
-			System.out.print(report.text());
+			LoadTestReport report = LoadGenerator.run(scenario, fleet::entryAddresses);
+			System.out.print(report.toText());
 			String workspace = scenario.mix().get(0).workspaces().get(0);
-			CallerAnswer answer = CallerClient.submit(fleet.entries().get(0),
+			ReceivedResponse answer = CallerClient.submit(fleet.entryAddresses().get(0),
 					Submission.builder(pipeline, workspace, "one").maxTokens(4).stream(true).build());
 			System.out
 				.println("One request: " + answer.outcome() + " '" + answer.output().strip() + "'. Its time line:");
-			TallyctlMain.execute("timeline", "--fleet", fleet.statusPorts(), "--request", answer.requestId());
+			TallyctlMain.execute("timeline", "--fleet", fleet.statusAddresses(), "--request", answer.requestId());
 			return report.violationCount();
 		}
 	}
 
 	static Scenario scenario(String name) throws IOException {
 		String file = "/scenarios/" + name + ".ini";
-		try (InputStream in = Demo.class.getResourceAsStream(file)) {
+		try (InputStream in = DemoCommand.class.getResourceAsStream(file)) {
 			if (in == null) {
 				throw new IOException("no scenario " + file);
 			}
--- a/testbed/src/main/java/org/tallycart/testbed/Trial.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ExperimentCase.java
@@ -16,19 +16,21 @@
  * @param end mends it
  * @since 0.1
  */
-record Trial(String name, int loadPercent, double burstFactor, List<Scenario.Kind> kinds, FleetAction begin,
-		FleetAction end) {
+record ExperimentCase(String name, int loadPercent, double burstFactor, List<Scenario.RequestKind> kinds,
+		FleetAction begin, FleetAction end) {
 
 	static final FleetAction NOTHING = (fleet) -> {
 	};
 
-	static Trial steady(String name, int loadPercent, List<Scenario.Kind> kinds) {
-		return new Trial(name, loadPercent, 1, kinds, NOTHING, NOTHING);
+	static ExperimentCase steady(String name, int loadPercent, List<Scenario.RequestKind> kinds) {
+		return new ExperimentCase(name, loadPercent, 1, kinds, NOTHING, NOTHING);
 	}
 
-	static Trial fault(String name, List<Scenario.Kind> kinds, String prefix, String fault, String mended) {
-		return new Trial(name, 60, 1, kinds, (fleet) -> fleet.upstreamFault((id) -> id.startsWith(prefix), fault),
-				(fleet) -> fleet.upstreamFault((id) -> id.startsWith(prefix), mended));
+	static ExperimentCase fault(String name, List<Scenario.RequestKind> kinds, String prefix, String fault,
+			String mended) {
+		return new ExperimentCase(name, 60, 1, kinds,
+				(fleet) -> fleet.setUpstreamFault((id) -> id.startsWith(prefix), fault),
+				(fleet) -> fleet.setUpstreamFault((id) -> id.startsWith(prefix), mended));
 	}
 
 	/** Does something to a fleet. */
--- a/testbed/src/main/java/org/tallycart/testbed/Experiment.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ExperimentCommand.java
@@ -11,8 +11,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import org.jspecify.annotations.Nullable;
-import org.tallycart.load.LoadReport;
-import org.tallycart.load.LoadRun;
+import org.tallycart.load.LoadGenerator;
+import org.tallycart.load.LoadTestReport;
 import org.tallycart.load.Scenario;
 import org.tallycart.runtime.process.ExitCode;
 import picocli.CommandLine.Command;
@@ -27,7 +27,7 @@
  */
 @Command(name = "experiment", mixinStandardHelpOptions = true,
 		description = "Measure attainment and cost by stage under load and faults, beside baselines.")
-final class Experiment implements Callable<Integer> {
+final class ExperimentCommand implements Callable<Integer> {
 
 	private static final List<String> WORKSPACES = List.of("chapinero-norte", "fontibon-plaza", "kennedy-central",
 			"usaquen-mercado");
@@ -71,8 +71,8 @@
 				"attained", "goodput", "p50", "p99", "extra%", "abandon%", "wrong");
 		for (int size : this.vms) {
 			try (LocalFleet fleet = LocalFleet.start(shape(size), this.settings)) {
-				run(fleet, size, Trial.steady("warm-up", 60, mix()), CHOSEN, false);
-				for (Trial trial : trials()) {
+				run(fleet, size, ExperimentCase.steady("warm-up", 60, mix()), CHOSEN, false);
+				for (ExperimentCase trial : trials()) {
 					if (trial.name().startsWith(this.only)) {
 						turns(fleet, size, trial);
 					}
@@ -85,35 +85,37 @@
 		return ExitCode.OK;
 	}
 
-	private void turns(LocalFleet fleet, int size, Trial trial) throws IOException {
+	private void turns(LocalFleet fleet, int size, ExperimentCase trial) throws IOException {
 		boolean compares = trial.name().startsWith("steady 90") || trial.name().startsWith("lag");
 		for (String balancer : compares ? BALANCERS : List.of(CHOSEN)) {
 			run(fleet, size, trial, balancer, true);
 		}
 	}
 
-	private void run(LocalFleet fleet, int size, Trial trial, String balancer, boolean print) throws IOException {
-		fleet.apply(fleet.declarations().replace("kind = ", "balancer = " + balancer + "\nkind = "));
-		Waiting.pause(APPLY_MS);
+	private void run(LocalFleet fleet, int size, ExperimentCase trial, String balancer, boolean print)
+			throws IOException {
+		fleet.applyDeclarations(fleet.declarations().replace("kind = ", "balancer = " + balancer + "\nkind = "));
+		Await.sleep(APPLY_MS);
 		trial.begin().on(fleet);
 		long millis = this.durationS * 1_000L;
 		Scenario scenario = new Scenario(CAPACITY * trial.loadPercent() / 100, millis, 3, millis / 4, millis / 4,
 				trial.burstFactor(), 0, trial.kinds());
-		LoadReport report = LoadRun.run(scenario, fleet::entries);
+		LoadTestReport report = LoadGenerator.run(scenario, fleet::entryAddresses);
 		trial.end().on(fleet);
 		if (print) {
 			print(size, trial, balancer, report);
 		}
 	}
 
-	private void print(int size, Trial trial, String balancer, LoadReport report) {
+	private void print(int size, ExperimentCase trial, String balancer, LoadTestReport report) {
 		double useful = report.cost("useful");
 		double extra = report.cost("retried") + report.cost("hedged");
 		double abandoned = report.cost("abandoned");
 		double all = Math.max(useful + extra + abandoned, 1);
 		System.out.printf("%-4d %-26s %-17s %6d %8.2f%% %8.1f %6d %6d %6.2f%% %8.2f%% %7d%n", size, trial.name(),
-				balancer, trial.loadPercent(), report.attainment() * 100, report.goodput(), report.totalMs(50),
-				report.totalMs(99), 100 * extra / all, 100 * abandoned / all, report.violationCount());
+				balancer, trial.loadPercent(), report.attainment() * 100, report.goodputPerSecond(),
+				report.latencyPercentileMs(50), report.latencyPercentileMs(99), 100 * extra / all,
+				100 * abandoned / all, report.violationCount());
 		trial.kinds().forEach((kind) -> {
 			if (trial.kinds().size() > 1) {
 				System.out.printf("       %-44s %8.2f%%%n", kind.name(), report.attainment(kind.name()) * 100);
@@ -123,59 +125,61 @@
 			.put("vms", size)
 			.put("situation", trial.name())
 			.put("balancer", balancer)
-			.set("report", report.json());
+			.set("report", report.toJson());
 	}
 
-	private static FleetShape shape(int size) {
-		return FleetShape.bogota(size)
-			.withServices(List.of(new ServiceShape("encode", "encode", 2, 4, 4, 0, 1, 0),
-					new ServiceShape("retrieve", "retrieve", 2, 4, 6, 0, 1, 0),
-					new ServiceShape("rerank", "rerank", 2, 4, 8, 0, 2, 0),
-					new ServiceShape("generate", "generate", 4, 2, 20, 5, 2, 0.5),
-					new ServiceShape("dispatch", "plain", 2, 4, 15, 0, 1, 0),
-					new ServiceShape("catalogue", "plain", 1, 4, 10, 0, 1, 0),
-					new ServiceShape("payment", "plain", 1, 4, 20, 0, 1, 0),
-					new ServiceShape("portal", "plain", 1, 4, 10, 0, 1, 0)));
+	private static FleetDefinition shape(int size) {
+		return FleetDefinition.bogota(size)
+			.withServices(List.of(new ServiceDefinition("encode", "encode", 2, 4, 4, 0, 1, 0),
+					new ServiceDefinition("retrieve", "retrieve", 2, 4, 6, 0, 1, 0),
+					new ServiceDefinition("rerank", "rerank", 2, 4, 8, 0, 2, 0),
+					new ServiceDefinition("generate", "generate", 4, 2, 20, 5, 2, 0.5),
+					new ServiceDefinition("dispatch", "plain", 2, 4, 15, 0, 1, 0),
+					new ServiceDefinition("catalogue", "plain", 1, 4, 10, 0, 1, 0),
+					new ServiceDefinition("payment", "plain", 1, 4, 20, 0, 1, 0),
+					new ServiceDefinition("portal", "plain", 1, 4, 10, 0, 1, 0)));
 	}
 
-	private static Scenario.Kind kind(String name, double weight, List<String> workspaces, long deadlineMs, int least,
-			int most) {
-		return new Scenario.Kind(name, weight, "assistant", workspaces, "shopper", deadlineMs, least, most, true, true,
-				0);
+	private static Scenario.RequestKind kind(String name, double weight, List<String> workspaces, long deadlineMs,
+			int least, int most) {
+		return new Scenario.RequestKind(name, weight, "assistant", workspaces, "shopper", deadlineMs, least, most, true,
+				true, 0);
 	}
 
-	private static List<Scenario.Kind> mix() {
+	private static List<Scenario.RequestKind> mix() {
 		return List.of(kind("question", 1, WORKSPACES, 1_500, 16, 48));
 	}
 
-	private List<Trial> trials() {
-		List<Trial> trials = new ArrayList<>();
+	private List<ExperimentCase> trials() {
+		List<ExperimentCase> trials = new ArrayList<>();
 		for (int load : new int[] { 60, 90, 100, 120 }) {
-			trials.add(Trial.steady("steady " + load, load, mix()));
+			trials.add(ExperimentCase.steady("steady " + load, load, mix()));
 		}
-		trials.add(new Trial("burst of 5", 60, 5, mix(), Trial.NOTHING, Trial.NOTHING));
-		trials.add(Trial.steady("after the burst", 60, mix()));
+		trials.add(new ExperimentCase("burst of 5", 60, 5, mix(), ExperimentCase.NOTHING, ExperimentCase.NOTHING));
+		trials.add(ExperimentCase.steady("after the burst", 60, mix()));
 		for (String stage : List.of("encode", "rerank", "generate")) {
-			trials.add(Trial.fault("straggler in " + stage, mix(), stage + "-1", "{\"slow_factor\":10}", MENDED));
+			trials.add(
+					ExperimentCase.fault("straggler in " + stage, mix(), stage + "-1", "{\"slow_factor\":10}", MENDED));
 		}
-		trials.add(Trial.fault("rerank fails 20%", mix(), "rerank", "{\"fail_percent\":20}", MENDED));
-		trials.add(Trial.fault("retrieve-1 never answers", mix(), "retrieve-1", "{\"hang\":true}", MENDED));
-		trials.add(Trial.fault("lag of reports 5 s", mix(), "generate", "{\"report_lag_ms\":5000}", MENDED));
-		trials.add(Trial.steady("one workspace floods", 150, List.of(kind("quiet", 1, WORKSPACES, 1_500, 16, 48),
-				kind("flood", 2, List.of("suba-express"), 1_500, 16, 48))));
-		trials.add(Trial.steady("long beside short", 100,
-				List.of(kind("short", 6, WORKSPACES, 1_000, 4, 12), kind("long", 1, WORKSPACES, 20_000, 120, 160))));
+		trials.add(ExperimentCase.fault("rerank fails 20%", mix(), "rerank", "{\"fail_percent\":20}", MENDED));
+		trials.add(ExperimentCase.fault("retrieve-1 never answers", mix(), "retrieve-1", "{\"hang\":true}", MENDED));
+		trials.add(ExperimentCase.fault("lag of reports 5 s", mix(), "generate", "{\"report_lag_ms\":5000}", MENDED));
 		trials
-			.add(new Trial("entry killed", 60, 1, mix(), (fleet) -> kill(fleet, 0), (fleet) -> fleet.restartEntry(0)));
+			.add(ExperimentCase.steady("one workspace floods", 150, List.of(kind("quiet", 1, WORKSPACES, 1_500, 16, 48),
+					kind("flood", 2, List.of("suba-express"), 1_500, 16, 48))));
+		trials.add(ExperimentCase.steady("long beside short", 100,
+				List.of(kind("short", 6, WORKSPACES, 1_000, 4, 12), kind("long", 1, WORKSPACES, 20_000, 120, 160))));
+		trials.add(new ExperimentCase("entry killed", 60, 1, mix(), (fleet) -> kill(fleet, 0),
+				(fleet) -> fleet.restartEntry(0)));
 		return trials;
 	}
 
 	private static void kill(LocalFleet fleet, int number) {
 		new Thread(() -> {
-			Waiting.pause(2_000);
+			Await.sleep(2_000);
 			fleet.vm(number).entry().kill();
-			Waiting.pause(500);
-			fleet.vm(number).balancer(false);
+			Await.sleep(500);
+			fleet.vm(number).setInBalancer(false);
 		}, "killer").start();
 	}
 
--- a/testbed/src/main/java/org/tallycart/testbed/FleetShape.java
+++ b/testbed/src/main/java/org/tallycart/testbed/FleetDefinition.java
@@ -17,8 +17,8 @@
  * proxies
  * @since 0.1
  */
-public record FleetShape(String name, int vms, List<String> domains, List<ServiceShape> services, String declarations,
-		boolean upstreamProxies, boolean platformProxies) {
+public record FleetDefinition(String name, int vms, List<String> domains, List<ServiceDefinition> services,
+		String declarations, boolean upstreamProxies, boolean platformProxies) {
 
 	private static final String BOGOTA = """
 			[pipeline assistant]
@@ -96,16 +96,16 @@
 	 * @param vms how many VMs
 	 * @return the shape
 	 */
-	public static FleetShape bogota(int vms) {
-		return new FleetShape("bogota", vms, List.of("usaquen", "chapinero", "fontibon", "kennedy"),
-				List.of(new ServiceShape("encode", "encode", 4, 4, 4, 0, 1, 0),
-						new ServiceShape("retrieve", "retrieve", 4, 4, 6, 0, 1, 0),
-						new ServiceShape("rerank", "rerank", 4, 4, 8, 0, 2, 0),
-						new ServiceShape("generate", "generate", 8, 4, 20, 3, 2, 0.5),
-						new ServiceShape("dispatch", "plain", 4, 4, 15, 0, 1, 0),
-						new ServiceShape("catalogue", "plain", 4, 4, 10, 0, 1, 0),
-						new ServiceShape("payment", "plain", 4, 4, 20, 0, 1, 0),
-						new ServiceShape("portal", "plain", 4, 4, 10, 0, 1, 0)),
+	public static FleetDefinition bogota(int vms) {
+		return new FleetDefinition("bogota", vms, List.of("usaquen", "chapinero", "fontibon", "kennedy"),
+				List.of(new ServiceDefinition("encode", "encode", 4, 4, 4, 0, 1, 0),
+						new ServiceDefinition("retrieve", "retrieve", 4, 4, 6, 0, 1, 0),
+						new ServiceDefinition("rerank", "rerank", 4, 4, 8, 0, 2, 0),
+						new ServiceDefinition("generate", "generate", 8, 4, 20, 3, 2, 0.5),
+						new ServiceDefinition("dispatch", "plain", 4, 4, 15, 0, 1, 0),
+						new ServiceDefinition("catalogue", "plain", 4, 4, 10, 0, 1, 0),
+						new ServiceDefinition("payment", "plain", 4, 4, 20, 0, 1, 0),
+						new ServiceDefinition("portal", "plain", 4, 4, 10, 0, 1, 0)),
 				BOGOTA, false, false);
 	}
 
@@ -114,13 +114,13 @@
 	 * @param vms how many VMs
 	 * @return the shape
 	 */
-	public static FleetShape tunis(int vms) {
-		return new FleetShape("tunis", vms, List.of("lac", "charguia", "ariana", "megrine"),
-				List.of(new ServiceShape("encode", "encode", 4, 4, 4, 0, 1, 0),
-						new ServiceShape("retrieve", "retrieve", 4, 4, 6, 0, 1, 0),
-						new ServiceShape("rerank", "rerank", 4, 4, 8, 0, 2, 0),
-						new ServiceShape("generate", "generate", 13, 4, 20, 3, 2, 0.5),
-						new ServiceShape("archive-catalogue", "plain", 4, 4, 15, 0, 1, 0)),
+	public static FleetDefinition tunis(int vms) {
+		return new FleetDefinition("tunis", vms, List.of("lac", "charguia", "ariana", "megrine"),
+				List.of(new ServiceDefinition("encode", "encode", 4, 4, 4, 0, 1, 0),
+						new ServiceDefinition("retrieve", "retrieve", 4, 4, 6, 0, 1, 0),
+						new ServiceDefinition("rerank", "rerank", 4, 4, 8, 0, 2, 0),
+						new ServiceDefinition("generate", "generate", 13, 4, 20, 3, 2, 0.5),
+						new ServiceDefinition("archive-catalogue", "plain", 4, 4, 15, 0, 1, 0)),
 				TUNIS, false, false);
 	}
 
@@ -128,8 +128,8 @@
 	 * Return a copy in which entries reach upstreams through proxies.
 	 * @return the copy
 	 */
-	public FleetShape withUpstreamProxies() {
-		return new FleetShape(this.name, this.vms, this.domains, this.services, this.declarations, true,
+	public FleetDefinition withUpstreamProxies() {
+		return new FleetDefinition(this.name, this.vms, this.domains, this.services, this.declarations, true,
 				this.platformProxies);
 	}
 
@@ -137,9 +137,9 @@
 	 * Return a copy in which stewards reach the platform through proxies.
 	 * @return the copy
 	 */
-	public FleetShape withPlatformProxies() {
-		return new FleetShape(this.name, this.vms, this.domains, this.services, this.declarations, this.upstreamProxies,
-				true);
+	public FleetDefinition withPlatformProxies() {
+		return new FleetDefinition(this.name, this.vms, this.domains, this.services, this.declarations,
+				this.upstreamProxies, true);
 	}
 
 	/**
@@ -147,8 +147,8 @@
 	 * @param next the services
 	 * @return the copy
 	 */
-	public FleetShape withServices(List<ServiceShape> next) {
-		return new FleetShape(this.name, this.vms, this.domains, next, this.declarations, this.upstreamProxies,
+	public FleetDefinition withServices(List<ServiceDefinition> next) {
+		return new FleetDefinition(this.name, this.vms, this.domains, next, this.declarations, this.upstreamProxies,
 				this.platformProxies);
 	}
 
@@ -157,8 +157,8 @@
 	 * @param next the declarations
 	 * @return the copy
 	 */
-	public FleetShape withDeclarations(String next) {
-		return new FleetShape(this.name, this.vms, this.domains, this.services, next, this.upstreamProxies,
+	public FleetDefinition withDeclarations(String next) {
+		return new FleetDefinition(this.name, this.vms, this.domains, this.services, next, this.upstreamProxies,
 				this.platformProxies);
 	}
 
--- a/testbed/src/main/java/org/tallycart/testbed/LocalFleet.java
+++ b/testbed/src/main/java/org/tallycart/testbed/LocalFleet.java
@@ -25,7 +25,7 @@
  * A fleet of real processes on this machine: stand-ins, and for each VM a steward and an
  * entry.
  * <p>
- * Not thread-safe, but for {@link #entries()}.
+ * Not thread-safe, but for {@link #entryAddresses()}.
  *
  * @since 0.1
  */
@@ -35,7 +35,7 @@
 
 	private static final String PLATFORM = "platform";
 
-	private final FleetShape shape;
+	private final FleetDefinition shape;
 
 	private final FleetDirectory directory;
 
@@ -50,7 +50,7 @@
 	private ManagedProcess standins;
 
 	@SuppressWarnings("NullAway.Init")
-	private LocalFleet(FleetShape shape, FleetDirectory directory) {
+	private LocalFleet(FleetDefinition shape, FleetDirectory directory) {
 		this.shape = shape;
 		this.directory = directory;
 	}
@@ -61,7 +61,7 @@
 	 * @return the fleet
 	 * @throws IOException if it cannot be started
 	 */
-	public static LocalFleet start(FleetShape shape) throws IOException {
+	public static LocalFleet start(FleetDefinition shape) throws IOException {
 		return start(shape, Map.of());
 	}
 
@@ -72,7 +72,7 @@
 	 * @return the fleet
 	 * @throws IOException if it cannot be started
 	 */
-	public static LocalFleet start(FleetShape shape, Map<String, String> settings) throws IOException {
+	public static LocalFleet start(FleetDefinition shape, Map<String, String> settings) throws IOException {
 		return start(shape, settings, List.of("-XX:TieredStopAtLevel=1"));
 	}
 
@@ -84,7 +84,7 @@
 	 * @return the fleet
 	 * @throws IOException if it cannot be started
 	 */
-	public static LocalFleet start(FleetShape shape, Map<String, String> settings, List<String> jvmOptions)
+	public static LocalFleet start(FleetDefinition shape, Map<String, String> settings, List<String> jvmOptions)
 			throws IOException {
 		LocalFleet fleet = new LocalFleet(shape, FleetDirectory.create(shape.name(), settings));
 		fleet.jvmOptions.addAll(jvmOptions);
@@ -107,13 +107,13 @@
 		together(this::startSteward);
 		publishVms();
 		together(this::startEntry);
-		apply(declarations());
-		Waiting.until("every entry is ready", START_MS, () -> this.vms.stream().allMatch(LocalFleet::ready));
+		applyDeclarations(declarations());
+		Await.until("every entry is ready", START_MS, () -> this.vms.stream().allMatch(LocalFleet::ready));
 		this.vms.forEach((vm) -> vm.inBalancer = true);
-		Waiting.until("every slot has settled", START_MS, this::slotsSettled);
+		Await.until("every slot has settled", START_MS, this::slotsSettled);
 	}
 
-	private void together(VmStart start) throws IOException {
+	private void together(ProcessStarter start) throws IOException {
 		List<IOException> failures = new CopyOnWriteArrayList<>();
 		this.vms.parallelStream().forEach((vm) -> {
 			try {
@@ -142,7 +142,7 @@
 
 	private String standinSettings() {
 		StringBuilder text = new StringBuilder("[platform " + PLATFORM + "]\n\n");
-		for (ServiceShape service : this.shape.services()) {
+		for (ServiceDefinition service : this.shape.services()) {
 			for (int i = 1; i <= service.workers(); i++) {
 				text.append("[upstream ").append(service.id()).append('-').append(i).append("]\n");
 				text.append("kind = ").append(service.kind()).append('\n');
@@ -161,7 +161,7 @@
 	 */
 	public String declarations() {
 		StringBuilder text = new StringBuilder(this.shape.declarations());
-		for (ServiceShape service : this.shape.services()) {
+		for (ServiceDefinition service : this.shape.services()) {
 			text.append("\n[service ").append(service.id()).append("]\n");
 			text.append("kind = ").append(service.kind()).append('\n');
 			text.append("cost-per-call = ").append(service.costPerCall()).append('\n');
@@ -263,7 +263,7 @@
 				list.add(new Vm(vm.id, Vm.ROLE_ENTRY, vm.domain, vm.steward.address("peer"), VmState.LIVE));
 			}
 		}
-		for (ServiceShape service : this.shape.services()) {
+		for (ServiceDefinition service : this.shape.services()) {
 			for (int i = 1; i <= service.workers(); i++) {
 				String id = service.id() + "-" + i;
 				list.add(new Vm(id, Vm.ROLE_UPSTREAM, this.shape.domain(i - 1), this.standins.address(id),
@@ -279,18 +279,18 @@
 	 * @return the exit code
 	 * @throws IOException if the file cannot be written
 	 */
-	public int apply(String text) throws IOException {
+	public int applyDeclarations(String text) throws IOException {
 		Path declared = Files.createDirectories(this.directory.path().resolve("declarations"));
 		Files.writeString(declared.resolve("all.ini"), text);
-		return TallyctlMain.execute("apply", "--platform", platform().toString(), "--author", "testbed", "--quiet",
-				declared.toString());
+		return TallyctlMain.execute("apply", "--platform", platformAddress().toString(), "--author", "testbed",
+				"--quiet", declared.toString());
 	}
 
 	/**
 	 * Return the platform's stand-in.
 	 * @return its address
 	 */
-	public Address platform() {
+	public Address platformAddress() {
 		return this.standins.address(PLATFORM);
 	}
 
@@ -298,7 +298,7 @@
 	 * Return where a balancer would send requests now.
 	 * @return addresses of the entries that are not known to be down or draining
 	 */
-	public List<Address> entries() {
+	public List<Address> entryAddresses() {
 		return this.vms.stream().filter((vm) -> vm.inBalancer).map((vm) -> vm.entry.address("callers")).toList();
 	}
 
@@ -306,7 +306,7 @@
 	 * Return the status ports of all stewards and entries.
 	 * @return the addresses, as {@code tallyctl --fleet} takes them
 	 */
-	public String statusPorts() {
+	public String statusAddresses() {
 		return this.vms.stream()
 			.map((vm) -> vm.steward.address("status") + "," + vm.entry.address("status"))
 			.collect(Collectors.joining(","));
@@ -338,7 +338,7 @@
 	public void restartEntry(int number) throws IOException {
 		VmProcesses vm = this.vms.get(number);
 		startEntry(vm);
-		Waiting.until(vm.id + " is ready", START_MS, () -> ready(vm));
+		Await.until(vm.id + " is ready", START_MS, () -> ready(vm));
 		vm.inBalancer = true;
 	}
 
@@ -359,8 +359,8 @@
 	 * Set a fault of the platform's stand-in.
 	 * @param json the fault
 	 */
-	public void platformFault(String json) {
-		ProcessHttp.post(platform(), "/admin/fault", json);
+	public void setPlatformFault(String json) {
+		ProcessHttp.post(platformAddress(), "/admin/fault", json);
 	}
 
 	/**
@@ -368,8 +368,8 @@
 	 * @param which which of them, by id
 	 * @param json the fault
 	 */
-	public void upstreamFault(Predicate<String> which, String json) {
-		upstreams().stream()
+	public void setUpstreamFault(Predicate<String> which, String json) {
+		upstreamIds().stream()
 			.filter(which)
 			.forEach((id) -> ProcessHttp.post(this.standins.address(id), "/admin/fault", json));
 	}
@@ -379,7 +379,7 @@
 	 * @param id the upstream
 	 * @param state its state
 	 */
-	public void upstreamState(String id, VmState state) {
+	public void setUpstreamState(String id, VmState state) {
 		this.upstreamStates.put(id, state);
 		publishVms();
 	}
@@ -388,9 +388,9 @@
 	 * Return all upstreams.
 	 * @return their ids
 	 */
-	public List<String> upstreams() {
+	public List<String> upstreamIds() {
 		List<String> ids = new ArrayList<>();
-		for (ServiceShape service : this.shape.services()) {
+		for (ServiceDefinition service : this.shape.services()) {
 			for (int i = 1; i <= service.workers(); i++) {
 				ids.add(service.id() + "-" + i);
 			}
@@ -403,7 +403,7 @@
 	 * @param id the upstream
 	 * @return its counts
 	 */
-	public JsonNode runs(String id) {
+	public JsonNode runCounts(String id) {
 		return ProcessHttp.get(this.standins.address(id), "/admin/runs");
 	}
 
@@ -413,8 +413,8 @@
 	 */
 	public Map<String, Integer> runsByMarker() {
 		Map<String, Integer> runs = new HashMap<>();
-		for (String id : upstreams()) {
-			runs(id).path("markers")
+		for (String id : upstreamIds()) {
+			runCounts(id).path("markers")
 				.properties()
 				.forEach((entry) -> runs.merge(entry.getKey(), entry.getValue().asInt(), Integer::sum));
 		}
@@ -447,7 +447,7 @@
 
 	/** Starts one process of a VM. */
 	@FunctionalInterface
-	private interface VmStart {
+	private interface ProcessStarter {
 
 		void start(VmProcesses vm) throws IOException;
 
--- a/testbed/src/main/java/org/tallycart/testbed/ManagedProcess.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ManagedProcess.java
@@ -146,7 +146,7 @@
 	 */
 	public void kill() {
 		this.process.destroyForcibly();
-		awaitEnd();
+		awaitExit();
 	}
 
 	/**
@@ -155,7 +155,7 @@
 	 */
 	public boolean stop() {
 		this.process.destroy();
-		return awaitEnd();
+		return awaitExit();
 	}
 
 	/**
@@ -169,7 +169,7 @@
 	 * Wait until the process has ended.
 	 * @return whether it ended in time
 	 */
-	public boolean awaitEnd() {
+	public boolean awaitExit() {
 		try {
 			return this.process.waitFor(STOP_SECONDS, TimeUnit.SECONDS);
 		}
@@ -182,14 +182,14 @@
 	/**
 	 * Freeze the process.
 	 */
-	public void freeze() {
+	public void suspend() {
 		signal("-STOP");
 	}
 
 	/**
 	 * Wake the process after a freeze.
 	 */
-	public void wake() {
+	public void resume() {
 		signal("-CONT");
 	}
 
@@ -209,7 +209,7 @@
 	 * Return whether the process runs.
 	 * @return true if it does
 	 */
-	public boolean alive() {
+	public boolean isAlive() {
 		return this.process.isAlive();
 	}
 
--- a/testbed/src/main/java/org/tallycart/testbed/ProcessMeasurement.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ProcessBenchmark.java
@@ -7,8 +7,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import org.tallycart.core.ini.Address;
-import org.tallycart.load.LoadReport;
-import org.tallycart.load.LoadRun;
+import org.tallycart.load.LoadGenerator;
+import org.tallycart.load.LoadTestReport;
 import org.tallycart.load.Scenario;
 
 /**
@@ -19,7 +19,7 @@
  *
  * @since 0.1
  */
-final class ProcessMeasurement {
+final class ProcessBenchmark {
 
 	private static final long WINDOW_MS = 10_000;
 
@@ -29,7 +29,7 @@
 
 	private static final double MEGA = 1 << 20;
 
-	private ProcessMeasurement() {
+	private ProcessBenchmark() {
 	}
 
 	static void stewards(PrintStream out, long settleMs) throws IOException {
@@ -67,13 +67,13 @@
 	private static void steward(PrintStream out, int vms, long settleMs) throws IOException {
 		Map<String, String> asShipped = Map.of("steward.peer.heartbeat-interval", "1s",
 				"steward.platform.poll-interval", "1s", "steward.platform.watch-wait", "5s");
-		try (LocalFleet fleet = LocalFleet.start(FleetShape.bogota(vms), asShipped, List.of())) {
-			Waiting.pause(settleMs);
+		try (LocalFleet fleet = LocalFleet.start(FleetDefinition.bogota(vms), asShipped, List.of())) {
+			Await.sleep(settleMs);
 			JsonNode before = metrics(fleet.vm(0).steward());
-			long readsBefore = reads(fleet.platform());
-			Waiting.pause(WINDOW_MS);
+			long readsBefore = reads(fleet.platformAddress());
+			Await.sleep(WINDOW_MS);
 			JsonNode after = metrics(fleet.vm(0).steward());
-			double reads = (reads(fleet.platform()) - readsBefore) * 1_000.0 / WINDOW_MS;
+			double reads = (reads(fleet.platformAddress()) - readsBefore) * 1_000.0 / WINDOW_MS;
 			out.printf("%4d %8.2f %8.1f %8.1f %8.2f %8.0f %8.2f%n", vms,
 					perSecond(before, after, "process.cpu_ns") / NANOS_PER_SECOND * 100,
 					after.path("process.resident_bytes").asDouble() / MEGA,
@@ -84,22 +84,24 @@
 
 	private static void entry(PrintStream out, String pipeline, double rate, int tokens, boolean repeatable)
 			throws IOException {
-		Scenario.Kind kind = new Scenario.Kind("k", 1, pipeline, List.of("suba-express"), "", 10_000, tokens, tokens,
-				repeatable, repeatable, 0);
-		try (LocalFleet fleet = LocalFleet.start(FleetShape.bogota(1), Map.of(), List.of())) {
-			LoadRun.run(new Scenario(Math.max(rate, 40), 6_000, 1, 0, 0, 1, 0, List.of(kind)), fleet::entries);
+		Scenario.RequestKind kind = new Scenario.RequestKind("k", 1, pipeline, List.of("suba-express"), "", 10_000,
+				tokens, tokens, repeatable, repeatable, 0);
+		try (LocalFleet fleet = LocalFleet.start(FleetDefinition.bogota(1), Map.of(), List.of())) {
+			LoadGenerator.run(new Scenario(Math.max(rate, 40), 6_000, 1, 0, 0, 1, 0, List.of(kind)),
+					fleet::entryAddresses);
 			JsonNode before = metrics(fleet.vm(0).entry());
 			long beganNs = System.nanoTime();
-			LoadReport report = LoadRun.run(new Scenario(rate, WINDOW_MS, 2, 0, 0, 1, 0, List.of(kind)),
-					fleet::entries);
+			LoadTestReport report = LoadGenerator.run(new Scenario(rate, WINDOW_MS, 2, 0, 0, 1, 0, List.of(kind)),
+					fleet::entryAddresses);
 			// The run ends with its last request; the window does not.
-			Waiting.pause(WINDOW_MS - (System.nanoTime() - beganNs) / NANOS_PER_MS);
+			Await.sleep(WINDOW_MS - (System.nanoTime() - beganNs) / NANOS_PER_MS);
 			JsonNode after = metrics(fleet.vm(0).entry());
-			double perSecond = report.total() * 1_000.0 / WINDOW_MS;
+			double perSecond = report.requestCount() * 1_000.0 / WINDOW_MS;
 			out.printf("%-10s %7.1f %8.0f %8.2f %8.1f   attainment %.4f p50 %d ms%n", pipeline, perSecond,
 					repeatable ? perSecond * tokens : 0,
 					perSecond(before, after, "process.cpu_ns") / NANOS_PER_SECOND * 100,
-					after.path("process.resident_bytes").asDouble() / MEGA, report.attainment(), report.totalMs(50));
+					after.path("process.resident_bytes").asDouble() / MEGA, report.attainment(),
+					report.latencyPercentileMs(50));
 		}
 	}
 
--- a/testbed/src/main/java/org/tallycart/testbed/ProcessHttp.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ProcessHttp.java
@@ -62,7 +62,7 @@
 				return connection.call(HttpCall.post(path, body.getBytes(StandardCharsets.UTF_8)).build(), TIMEOUT_MS);
 			}
 		})
-			.filterOrElse(HttpReply::ok,
+			.filterOrElse(HttpReply::isSuccess,
 					(reply) -> new HttpFailure(HttpFailure.Kind.BROKEN, true, "status " + reply.status()))
 			.getOrElseThrow((failure) -> new IllegalStateException(path + ": " + failure.message()));
 	}
--- a/testbed/src/main/java/org/tallycart/testbed/ServiceShape.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ServiceDefinition.java
@@ -13,6 +13,6 @@
  * @param costPerToken cost of a token
  * @since 0.1
  */
-public record ServiceShape(String id, String kind, int workers, int slots, double baseMs, double tokenMs,
+public record ServiceDefinition(String id, String kind, int workers, int slots, double baseMs, double tokenMs,
 		double costPerCall, double costPerToken) {
 }
--- a/testbed/src/main/java/org/tallycart/testbed/TestbedMain.java
+++ b/testbed/src/main/java/org/tallycart/testbed/TestbedMain.java
@@ -14,7 +14,7 @@
  */
 @Command(name = "tallycart-testbed", mixinStandardHelpOptions = true, versionProvider = VersionProvider.class,
 		description = "Fleets of real processes on this machine, and experiments on them.",
-		subcommands = { Demo.class, Capacity.class, Experiment.class })
+		subcommands = { DemoCommand.class, CapacityCommand.class, ExperimentCommand.class })
 public final class TestbedMain implements Runnable {
 
 	/**
--- a/testbed/src/main/java/org/tallycart/testbed/VmProcesses.java
+++ b/testbed/src/main/java/org/tallycart/testbed/VmProcesses.java
@@ -63,7 +63,7 @@
 	 * Put the VM into the balancer, or take it out.
 	 * @param in whether it gets requests
 	 */
-	public void balancer(boolean in) {
+	public void setInBalancer(boolean in) {
 		this.inBalancer = in;
 	}
 
@@ -71,7 +71,7 @@
 	 * Put the VM into the platform's list at its next publishing, or leave it out.
 	 * @param in whether it is listed
 	 */
-	public void listed(boolean in) {
+	public void setListed(boolean in) {
 		this.listed = in;
 	}
 
--- a/wire/src/main/java/org/tallycart/wire/WireClient.java
+++ b/wire/src/main/java/org/tallycart/wire/WireClient.java
@@ -118,7 +118,7 @@
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.TCP_NODELAY, true)
 			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-			.handler(new WireCodec(() -> new Inbound()))
+			.handler(new WireCodec(() -> new InboundHandler()))
 			.connect(this.address.host(), this.address.port());
 		if (this.closed) {
 			fresh.channel().close();
@@ -131,7 +131,7 @@
 	private void timeOut(long correlation) {
 		if (complete(correlation, Either.left(WireError.TIMED_OUT))
 				&& this.timeoutsInRow.incrementAndGet() >= TIMEOUTS_TO_CUT) {
-			cut();
+			disconnect();
 		}
 	}
 
@@ -144,7 +144,7 @@
 	 * Close the connection, so that the next message makes a new one: the path may be
 	 * dead without either end having noticed.
 	 */
-	public synchronized void cut() {
+	public synchronized void disconnect() {
 		if (this.connection != null) {
 			this.connection.channel().close();
 			this.connection = null;
@@ -155,7 +155,7 @@
 	 * Return whether the connection is open now.
 	 * @return true if it is
 	 */
-	public synchronized boolean connected() {
+	public synchronized boolean isConnected() {
 		return this.connection != null && this.connection.isSuccess() && this.connection.channel().isActive();
 	}
 
@@ -170,10 +170,10 @@
 	@Override
 	public synchronized void close() {
 		this.closed = true;
-		cut();
+		disconnect();
 	}
 
-	private final class Inbound extends SimpleChannelInboundHandler<Envelope> {
+	private final class InboundHandler extends SimpleChannelInboundHandler<Envelope> {
 
 		@Override
 		public void channelActive(ChannelHandlerContext context) {
--- a/wire/src/main/java/org/tallycart/wire/WirePeer.java
+++ b/wire/src/main/java/org/tallycart/wire/WirePeer.java
@@ -28,6 +28,6 @@
 	 * Return whether the connection is open.
 	 * @return true if it is
 	 */
-	boolean open();
+	boolean isOpen();
 
 }
--- a/wire/src/main/java/org/tallycart/wire/WireServer.java
+++ b/wire/src/main/java/org/tallycart/wire/WireServer.java
@@ -42,7 +42,7 @@
 		ServerBootstrap bootstrap = new ServerBootstrap().group(group)
 			.channel(NioServerSocketChannel.class)
 			.childOption(ChannelOption.TCP_NODELAY, true)
-			.childHandler(new WireCodec(() -> new Inbound(identity, handler, accepted)));
+			.childHandler(new WireCodec(() -> new InboundHandler(identity, handler, accepted)));
 		ChannelFuture bound = bootstrap.bind(new InetSocketAddress(address.host(), address.port()))
 			.awaitUninterruptibly();
 		if (!bound.isSuccess()) {
@@ -65,7 +65,7 @@
 		this.accepted.close().awaitUninterruptibly();
 	}
 
-	private static final class Inbound extends SimpleChannelInboundHandler<Envelope> {
+	private static final class InboundHandler extends SimpleChannelInboundHandler<Envelope> {
 
 		private final WireIdentity identity;
 
@@ -73,7 +73,7 @@
 
 		private final ChannelGroup accepted;
 
-		private Inbound(WireIdentity identity, WireHandler handler, ChannelGroup accepted) {
+		private InboundHandler(WireIdentity identity, WireHandler handler, ChannelGroup accepted) {
 			this.identity = identity;
 			this.handler = handler;
 			this.accepted = accepted;
@@ -113,7 +113,7 @@
 		}
 
 		@Override
-		public boolean open() {
+		public boolean isOpen() {
 			return this.channel.isActive();
 		}
 
