--- a/core/src/main/java/org/tallycart/core/claim/ClaimTable.java
+++ b/core/src/main/java/org/tallycart/core/claim/ClaimTable.java
@@ -67,7 +67,7 @@
 		this.slots.entrySet().removeIf((entry) -> !ownedSlots.contains(entry.getKey()) && entry.getValue().confirmed);
 		for (int slot : ownedSlots) {
 			SlotOwner owner = InvariantViolation.requirePresent(map.owner(slot),
-					"slot " + slot + " of this process has no owner in the slot map");
+					"an owned slot has no owner in the slot map");
 			OwnedSlot owned = this.slots.get(slot);
 			if (owned == null || !owned.confirmed && !owned.matches(owner)) {
 				// The claims of the previous owner are lost: refuse every key that it may
@@ -76,8 +76,7 @@
 				owned = new OwnedSlot(firstOwner ? Long.MIN_VALUE : nowMs + 2 * this.window.skewMs());
 				this.slots.put(slot, owned);
 			}
-			InvariantViolation.check(owner.term() >= owned.term,
-					"the term of slot " + slot + " decreased from " + owned.term + " to " + owner.term());
+			InvariantViolation.check(owner.term() >= owned.term, "the term of slot " + slot + " decreased");
 			owned.term = owner.term();
 			if (!owned.confirmed) {
 				owned.confirmed = true;
--- a/core/src/main/java/org/tallycart/core/membership/VmList.java
+++ b/core/src/main/java/org/tallycart/core/membership/VmList.java
@@ -69,11 +69,11 @@
 			}
 			String[] fields = line.split(" ");
 			if (fields.length != FIELD_COUNT) {
-				return Either.left("VM list: line has " + fields.length + " fields, expected " + FIELD_COUNT);
+				return Either.left("VM list: a line has " + fields.length + " fields");
 			}
 			Either<String, Address> address = Address.parse(fields[3]);
 			if (address.isLeft()) {
-				return Either.left("VM list: address '" + fields[3] + "' " + address.getLeft());
+				return Either.left("VM list: the address field " + address.getLeft());
 			}
 			VmState state = fields[4].equals(VmState.LIVE.name()) ? VmState.LIVE : VmState.LEAVING;
 			vms.add(new Vm(fields[0], fields[1], fields[2], address.get(), state));
--- a/core/src/main/java/org/tallycart/core/outcome/AttemptTracker.java
+++ b/core/src/main/java/org/tallycart/core/outcome/AttemptTracker.java
@@ -77,7 +77,7 @@
 		attempt.hadBegun = true;
 		this.begun++;
 		InvariantViolation.check(this.repeatable || countRuns(attempt.stage) == 1,
-				this.requestId + ": a call to stage " + attempt.stage + " that must not be repeated began twice");
+				this.requestId + ": a call that must not be repeated began twice");
 		return true;
 	}
 
--- a/core/src/main/java/org/tallycart/core/pool/PoolDispatcher.java
+++ b/core/src/main/java/org/tallycart/core/pool/PoolDispatcher.java
@@ -209,7 +209,7 @@
 	public List<String> onAnswer(long number, List<PieceOutcome> outcomes, long nowMs) {
 		PoolCall call = end(number);
 		InvariantViolation.check(outcomes.size() == call.jobs().size(),
-				"call " + number + ": expected " + call.jobs().size() + " outcomes, got " + outcomes.size());
+				"the number of outcomes differs from the number of pieces of the call");
 		this.workers.find(call.worker()).ifPresent((worker) -> updateWorker(worker, call, outcomes, nowMs));
 		List<String> unused = new ArrayList<>();
 		for (int i = 0; i < outcomes.size(); i++) {
--- a/core/src/main/java/org/tallycart/core/pool/RunningCalls.java
+++ b/core/src/main/java/org/tallycart/core/pool/RunningCalls.java
@@ -48,7 +48,7 @@
 	PoolCall end(long number) {
 		this.overdue.remove(number);
 		this.inputsUnread.remove(number);
-		return InvariantViolation.requirePresent(this.calls.remove(number), "call " + number + " is not in progress");
+		return InvariantViolation.requirePresent(this.calls.remove(number), "the call is not in progress");
 	}
 
 	// Returns the calls whose inputs have been read since the last invocation.
--- a/core/src/main/java/org/tallycart/core/replication/VersionedRegister.java
+++ b/core/src/main/java/org/tallycart/core/replication/VersionedRegister.java
@@ -49,8 +49,7 @@
 		long previousVersion = this.version;
 		this.version = offeredVersion;
 		this.value = offered.clone();
-		InvariantViolation.check(this.version > previousVersion,
-				this.name + ": version decreased from " + previousVersion + " to " + this.version);
+		InvariantViolation.check(this.version > previousVersion, this.name + ": the version decreased");
 		return OfferResult.APPLIED;
 	}
 
--- a/node/src/main/java/org/tallycart/node/SelfTest.java
+++ b/node/src/main/java/org/tallycart/node/SelfTest.java
@@ -124,8 +124,7 @@
 	private void expect(int port, String path, String status) {
 		String response = get(port, path);
 		if (!response.startsWith("HTTP/1.1 " + status)) {
-			this.failures
-				.add("expected status " + status + " of " + path + " at port " + port + ", response: " + response);
+			this.failures.add(path + " at port " + port + " returned an unexpected response: " + response);
 		}
 	}
 
