--- a/node/src/main/java/org/tallycart/node/SelfTest.java
+++ b/node/src/main/java/org/tallycart/node/SelfTest.java
@@ -116,7 +116,7 @@
 
 	private void expect(Node node, SelfTestUpstream.Exchange exchange) {
 		String response = send(node.callersPort(), exchange.request());
-		if (!response.startsWith("HTTP/1.1 200") || !response.endsWith(exchange.ending())) {
+		if (!response.startsWith("HTTP/1.1 200") || !response.endsWith(exchange.expectedEnd())) {
 			this.failures.add("unexpected response to a request: " + response);
 		}
 	}
--- a/node/src/main/java/org/tallycart/node/store/ConfigSink.java
+++ b/node/src/main/java/org/tallycart/node/store/ConfigSink.java
@@ -35,7 +35,7 @@
 
 	@Override
 	public void onChanges(List<ObjectChange> changes) {
-		changes.stream().filter((change) -> !change.gone()).map(ObjectChange::object).forEach(this::activate);
+		changes.stream().filter((change) -> !change.removed()).map(ObjectChange::object).forEach(this::activate);
 	}
 
 	@Override
--- a/node/src/main/java/org/tallycart/node/store/EvacuationSink.java
+++ b/node/src/main/java/org/tallycart/node/store/EvacuationSink.java
@@ -45,7 +45,7 @@
 		Set<String> before = Set.copyOf(this.domains);
 		for (ObjectChange change : changes) {
 			String domain = EvacuationOrders.failureDomain(change.object());
-			if (change.gone()) {
+			if (change.removed()) {
 				this.domains.remove(domain);
 			}
 			else {
--- a/node/src/main/java/org/tallycart/node/store/FeedReplica.java
+++ b/node/src/main/java/org/tallycart/node/store/FeedReplica.java
@@ -209,7 +209,7 @@
 
 	private void applyChanges(List<ObjectChange> changes, StorePosition reached) {
 		for (ObjectChange change : changes) {
-			if (change.gone()) {
+			if (change.removed()) {
 				this.objects.remove(change.object().name());
 				this.overrides.onRemoved(change.object().name(), this.loop.nowMs());
 			}
@@ -284,7 +284,7 @@
 			.setName(object.name())
 			.setRevision(object.revision())
 			.setContent(object.content())
-			.setGone(change.gone())
+			.setGone(change.removed())
 			.build();
 	}
 
--- a/node/src/main/java/org/tallycart/node/store/QuarantineSink.java
+++ b/node/src/main/java/org/tallycart/node/store/QuarantineSink.java
@@ -51,7 +51,7 @@
 	public void onChanges(List<ObjectChange> changes) {
 		for (ObjectChange change : changes) {
 			QuarantineRecords.fingerprint(change.object()).peek(this.untilMs::remove);
-			if (change.gone()) {
+			if (change.removed()) {
 				QuarantineRecords.fingerprint(change.object()).peek(this::lift);
 			}
 			else {
--- a/node/src/main/java/org/tallycart/node/store/UpstreamSink.java
+++ b/node/src/main/java/org/tallycart/node/store/UpstreamSink.java
@@ -81,7 +81,7 @@
 
 	private void apply(ObjectChange change) {
 		StoredObject object = change.object();
-		if (change.gone()) {
+		if (change.removed()) {
 			this.invalid.remove(object.name());
 			this.log.event(EventCode.UPSTREAM_UNLISTED, "upstream", object.name());
 			this.directory.remove(object.name(), this.loop.nowMs());
--- a/node/src/main/java/org/tallycart/node/store/VmRecordSink.java
+++ b/node/src/main/java/org/tallycart/node/store/VmRecordSink.java
@@ -41,7 +41,7 @@
 	@Override
 	public void onChanges(List<ObjectChange> changes) {
 		for (ObjectChange change : changes) {
-			if (change.gone()) {
+			if (change.removed()) {
 				this.records.remove(change.object().name());
 			}
 			else {
--- a/node/src/test/java/org/tallycart/node/store/FeedReplicaTests.java
+++ b/node/src/test/java/org/tallycart/node/store/FeedReplicaTests.java
@@ -199,7 +199,7 @@
 		@Override
 		public void onChanges(List<ObjectChange> changes) {
 			changes.forEach((change) -> {
-				if (change.gone()) {
+				if (change.removed()) {
 					this.names.remove(change.object().name());
 				}
 				else {
