--- a/http/src/main/java/org/tallycart/http/HttpFailure.java
+++ b/http/src/main/java/org/tallycart/http/HttpFailure.java
@@ -4,11 +4,11 @@
  * Why an HTTP call has no answer.
  *
  * @param kind the kind of failure
- * @param begun whether a byte of the call may have left this process
+ * @param sent whether a byte of the call may have left this process
  * @param message a short text for people
  * @since 0.1
  */
-public record HttpFailure(Kind kind, boolean begun, String message) {
+public record HttpFailure(Kind kind, boolean sent, String message) {
 
 	/** Kinds of failure. */
 	public enum Kind {
--- a/http/src/main/java/org/tallycart/http/event/ClientRequest.java
+++ b/http/src/main/java/org/tallycart/http/event/ClientRequest.java
@@ -8,16 +8,17 @@
  * <p>
  * Immutable, given that the head and body are not changed.
  *
- * @param pool which connections may carry it; connections are not shared between pools
+ * @param poolName which connections may carry it; connections are not shared between
+ * pools
  * @param address where to
  * @param head the request's head, without framing fields
  * @param body the request's body
  * @param connectTimeoutMs how long a new connection may take, in milliseconds
- * @param reuse whether a kept connection may carry it
+ * @param reuseConnection whether a kept connection may carry it
  * @since 0.1
  */
-public record ClientRequest(String pool, Address address, HttpRequest head, byte[] body, int connectTimeoutMs,
-		boolean reuse) {
+public record ClientRequest(String poolName, Address address, HttpRequest head, byte[] body, int connectTimeoutMs,
+		boolean reuseConnection) {
 
 	/**
 	 * Begin to describe a call.
--- a/http/src/main/java/org/tallycart/http/event/HttpClient.java
+++ b/http/src/main/java/org/tallycart/http/event/HttpClient.java
@@ -57,8 +57,8 @@
 		if (exchange.body().length > 0 || !"GET".equals(exchange.head().getMethod())) {
 			exchange.head().setHeader("Content-Length", String.valueOf(exchange.body().length));
 		}
-		ConnectionPool pool = this.pools.computeIfAbsent(exchange.pool(), (key) -> new ConnectionPool(this.nowMs));
-		UpstreamConnection kept = exchange.reuse() ? pool.take() : null;
+		ConnectionPool pool = this.pools.computeIfAbsent(exchange.poolName(), (key) -> new ConnectionPool(this.nowMs));
+		UpstreamConnection kept = exchange.reuseConnection() ? pool.take() : null;
 		if (kept != null) {
 			kept.start(exchange, listener);
 			return new StartedCall(kept, listener);
