--- a/steward/src/main/java/org/tallycart/steward/GossipSimulation.java
+++ b/steward/src/main/java/org/tallycart/steward/GossipSimulation.java
@@ -125,11 +125,11 @@
 		while (this.nowMs < untilMs && behind(2) > 0) {
 			runUntil(this.nowMs + LATENCY_MS);
 		}
-		long spreadMs = (behind(2) == 0) ? this.nowMs - changedMs : -1;
+		long propagationMs = (behind(2) == 0) ? this.nowMs - changedMs : -1;
 		runUntil(untilMs);
 		double idleBytes = idle.bytes * (double) CHANGE_MS / IDLE_MS;
 		double idleMessages = idle.messages * (double) CHANGE_MS / IDLE_MS;
-		return new Result(size, workspaces, spreadMs, perVmSecond(idle.messages, IDLE_MS),
+		return new Result(size, workspaces, propagationMs, perVmSecond(idle.messages, IDLE_MS),
 				perVmSecond(idle.bytes, IDLE_MS), 100.0 * idle.cpuNs / 1_000_000 / IDLE_MS / size,
 				(this.messages - messagesBefore - idleMessages) / size, (this.bytes - bytesBefore - idleBytes) / size,
 				listBytes.length, first.bytes());
@@ -198,7 +198,8 @@
 	 *
 	 * @param size how many stewards
 	 * @param workspaces how many workspaces were declared
-	 * @param spreadMs time until a change was in force in every steward; -1 if it was not
+	 * @param propagationMs time until a change was in force in every steward; -1 if it
+	 * was not
 	 * @param messagesPerSecond messages a second for each steward, while nothing changes
 	 * @param bytesPerSecond their bytes, with 44 of TCP, IP and framing for each
 	 * @param cpuPercent processor time for each steward, in percent of a core
@@ -207,7 +208,7 @@
 	 * @param listBytes size of the list of VMs
 	 * @param configBytes size of the configuration
 	 */
-	public record Result(int size, int workspaces, long spreadMs, double messagesPerSecond, double bytesPerSecond,
+	public record Result(int size, int workspaces, long propagationMs, double messagesPerSecond, double bytesPerSecond,
 			double cpuPercent, double messagesPerChange, double bytesPerChange, int listBytes, int configBytes) {
 	}
 
--- a/testbed/src/main/java/org/tallycart/testbed/CapacityCommand.java
+++ b/testbed/src/main/java/org/tallycart/testbed/CapacityCommand.java
@@ -67,7 +67,7 @@
 		for (int size : this.sizes) {
 			GossipSimulation.Result result = GossipSimulation.measure(size, this.workspaces, this.lossPercent);
 			System.out.printf("%-9d %-10d %9d %8.2f %8.0f %8.3f %10.1f %10.0f %10d %10d%n", result.size(),
-					result.workspaces(), result.spreadMs(), result.messagesPerSecond(), result.bytesPerSecond(),
+					result.workspaces(), result.propagationMs(), result.messagesPerSecond(), result.bytesPerSecond(),
 					result.cpuPercent(), result.messagesPerChange(), result.bytesPerChange(), result.listBytes(),
 					result.configBytes());
 		}
