--- a/http/src/main/java/org/tallycart/http/BlockingHttpServer.java
+++ b/http/src/main/java/org/tallycart/http/BlockingHttpServer.java
@@ -30,11 +30,11 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * HTTP listener with one thread for each open connection, up to a bound. A connection
- * over the bound is answered 503 at once, with a time to come back.
+ * Blocking HTTP server with one thread per open connection, up to a limit. A connection
+ * over the limit receives a 503 response with {@code Retry-After} and is closed.
  * <p>
  * Invariant: {@link #drain} closes no connection whose request has begun to arrive, until
- * its answer is written or the time is up. Thread-safe.
+ * its response is written or the timeout has passed. Thread-safe.
  *
  * @since 0.1
  */
@@ -46,7 +46,7 @@
 
 	private static final long DRAIN_STEP_MS = 10;
 
-	private static final byte[] BUSY = ("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
+	private static final byte[] SERVICE_UNAVAILABLE = ("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
 			+ "Content-Length: 0\r\nConnection: close\r\n\r\n")
 		.getBytes(StandardCharsets.US_ASCII);
 
@@ -75,12 +75,12 @@
 	}
 
 	/**
-	 * Start to listen.
-	 * @param address where; port 0 takes a free one
-	 * @param name name of the threads
-	 * @param maxConnections connections served at a time, at most
-	 * @param handler answers requests
-	 * @return the listener, or why the address cannot be listened on
+	 * Bind to an address and start to accept connections.
+	 * @param address the address to bind; port 0 selects a free port
+	 * @param name the prefix of the thread names
+	 * @param maxConnections the maximum number of connections served concurrently
+	 * @param handler the handler of requests
+	 * @return the server, or an error text if the address cannot be bound
 	 */
 	public static Either<String, BlockingHttpServer> start(Address address, String name, int maxConnections,
 			HttpRequestHandler handler) {
@@ -88,16 +88,16 @@
 			ServerSocket socket = new ServerSocket();
 			socket.setReuseAddress(true);
 			socket.bind(new InetSocketAddress(InetAddress.getByName(address.host()), address.port()), BACKLOG);
-			BlockingHttpServer listener = new BlockingHttpServer(socket, name, maxConnections, handler);
-			listener.workers.execute(listener::accept);
-			return Either.right(listener);
+			BlockingHttpServer server = new BlockingHttpServer(socket, name, maxConnections, handler);
+			server.workers.execute(server::acceptLoop);
+			return Either.right(server);
 		}
 		catch (IOException ex) {
 			return Either.left("cannot listen on " + address + ": " + ex.getMessage());
 		}
 	}
 
-	private void accept() {
+	private void acceptLoop() {
 		while (!this.socket.isClosed()) {
 			try {
 				Socket accepted = this.socket.accept();
@@ -120,7 +120,7 @@
 		}
 		catch (RejectedExecutionException ex) {
 			this.open.remove(connection);
-			accepted.getOutputStream().write(BUSY);
+			accepted.getOutputStream().write(SERVICE_UNAVAILABLE);
 			accepted.close();
 		}
 	}
@@ -128,15 +128,15 @@
 	private void run(ServerConnection connection) {
 		try (DefaultBHttpServerConnection http = new DefaultBHttpServerConnection("http", Http1Config.DEFAULT)) {
 			http.bind(connection.socket());
-			while (http.isOpen() && !(this.draining && connection.served())) {
+			while (http.isOpen() && !(this.draining && connection.hasServed())) {
 				HttpCoreContext context = HttpCoreContext.create();
 				context.setAttribute(ServerConnection.ATTRIBUTE, connection);
 				this.service.handleRequest(http, context);
-				connection.onAnswered();
+				connection.onResponse();
 			}
 		}
 		catch (IOException | HttpException ex) {
-			// The peer went away or did not speak HTTP; there is nobody to tell.
+			// The peer disconnected or sent malformed HTTP: no response is possible.
 		}
 		finally {
 			connection.close();
@@ -156,47 +156,47 @@
 	}
 
 	/**
-	 * Return the port listened on.
-	 * @return the port
+	 * Return the bound port.
+	 * @return the port number
 	 */
 	public int port() {
 		return this.socket.getLocalPort();
 	}
 
 	/**
-	 * Return how many connections are open.
-	 * @return the number
+	 * Return the number of open connections.
+	 * @return the count
 	 */
 	public int openCount() {
 		return this.open.size();
 	}
 
 	/**
-	 * Ask callers, with each answer, to close their connection.
+	 * Start draining: each further response carries {@code Connection: close}.
 	 */
 	public void beginDrain() {
 		this.draining = true;
 	}
 
 	/**
-	 * Stop accepting and wait until the open connections have ended their requests.
-	 * @param timeoutMs how long to wait
-	 * @return whether all had ended in time
+	 * Stop accepting connections and wait until the open ones are closed.
+	 * @param timeoutMs the maximum wait, in milliseconds
+	 * @return true if all connections were closed within the timeout
 	 */
 	public boolean drain(long timeoutMs) {
 		beginDrain();
 		closeSocket();
 		for (long waited = 0; waited < timeoutMs; waited += DRAIN_STEP_MS) {
-			this.open.forEach(ServerConnection::endIfIdle);
+			this.open.forEach(ServerConnection::shutdownIfIdle);
 			if (this.open.isEmpty()) {
 				return true;
 			}
-			pause();
+			sleepDrainStep();
 		}
 		return this.open.isEmpty();
 	}
 
-	private static void pause() {
+	private static void sleepDrainStep() {
 		try {
 			Thread.sleep(DRAIN_STEP_MS);
 		}
@@ -210,7 +210,7 @@
 			this.socket.close();
 		}
 		catch (IOException ex) {
-			// Nothing is accepted any more, whether or not it closed well.
+			// No connection is accepted from here on, even if the close failed.
 		}
 	}
 
--- a/http/src/main/java/org/tallycart/http/HttpCall.java
+++ b/http/src/main/java/org/tallycart/http/HttpCall.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * A call to make. Immutable and thread-safe.
+ * Request of a blocking call. Immutable and thread-safe.
  *
  * @since 0.1
  */
@@ -26,8 +26,8 @@
 	}
 
 	/**
-	 * Begin a call without a body.
-	 * @param path the path with its query
+	 * Create a builder of a GET call without a body.
+	 * @param path the path, with the query if any
 	 * @return a builder
 	 */
 	public static Builder get(String path) {
@@ -35,9 +35,9 @@
 	}
 
 	/**
-	 * Begin a call with a body of JSON.
-	 * @param path the path with its query
-	 * @param body the body
+	 * Create a builder of a POST call with a JSON body.
+	 * @param path the path, with the query if any
+	 * @param body the body bytes
 	 * @return a builder
 	 */
 	public static Builder post(String path, byte[] body) {
@@ -45,9 +45,9 @@
 	}
 
 	/**
-	 * Begin a call that puts a value.
-	 * @param path the path with its query
-	 * @param body the body
+	 * Create a builder of a PUT call with a JSON body.
+	 * @param path the path, with the query if any
+	 * @param body the body bytes
 	 * @return a builder
 	 */
 	public static Builder put(String path, byte[] body) {
@@ -71,7 +71,7 @@
 	}
 
 	/**
-	 * Builds a call. Not thread-safe.
+	 * Builder of {@link HttpCall}. Not thread-safe.
 	 */
 	public static final class Builder {
 
@@ -95,8 +95,8 @@
 
 		/**
 		 * Add a header field.
-		 * @param name its name
-		 * @param value its value
+		 * @param name the field name
+		 * @param value the field value
 		 * @return this builder
 		 */
 		public Builder field(String name, String value) {
--- a/http/src/main/java/org/tallycart/http/HttpConnection.java
+++ b/http/src/main/java/org/tallycart/http/HttpConnection.java
@@ -29,11 +29,11 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * One client connection, used for one call at a time.
+ * Client connection that carries one call at a time.
  * <p>
  * Invariant: after a failure the connection is closed and never used again, so a late
- * answer can reach no other call. {@link #abort()} may be called from any thread;
- * everything else from one thread at a time.
+ * reply is never taken for that of another call. {@link #abort()} may be called from any
+ * thread, all other methods from one thread at a time.
  *
  * @since 0.1
  */
@@ -43,7 +43,7 @@
 
 	private static final HttpRequestExecutor EXECUTOR = new HttpRequestExecutor();
 
-	private static final int MAX_BODY = 8 << 20;
+	private static final int MAX_BODY_BYTES = 8 << 20;
 
 	private final Address address;
 
@@ -51,7 +51,7 @@
 
 	private final Socket socket;
 
-	private volatile boolean usable = true;
+	private volatile boolean reusable = true;
 
 	private HttpConnection(Address address, DefaultBHttpClientConnection connection, Socket socket) {
 		this.address = address;
@@ -60,10 +60,10 @@
 	}
 
 	/**
-	 * Connect.
-	 * @param address where to
-	 * @param timeoutMs how long to try
-	 * @return the connection, or a failure that has not begun
+	 * Open a connection.
+	 * @param address the address of the peer
+	 * @param timeoutMs the connect timeout, in milliseconds
+	 * @return the connection, or a failure with {@code sent} false
 	 */
 	public static Either<HttpFailure, HttpConnection> connect(Address address, long timeoutMs) {
 		Socket socket = new Socket();
@@ -81,36 +81,37 @@
 	}
 
 	/**
-	 * Make a call and read the whole answer.
+	 * Make a call and read the full reply.
 	 * @param call the call
-	 * @param timeoutMs how long to wait for bytes
-	 * @return the answer, or a failure that has begun
+	 * @param timeoutMs the read timeout, in milliseconds
+	 * @return the reply, or a failure with {@code sent} true
 	 */
 	public Either<HttpFailure, HttpReply> call(HttpCall call, long timeoutMs) {
 		return callStreaming(call, timeoutMs).flatMap(StreamedReply::readFully);
 	}
 
 	/**
-	 * Make a call and leave the answer's body to be read piece by piece.
+	 * Make a call and return its reply as soon as the head is read; the body is read from
+	 * the returned reply.
 	 * @param call the call
-	 * @param timeoutMs how long to wait for bytes
-	 * @return the answer, or a failure that has begun
+	 * @param timeoutMs the read timeout, in milliseconds
+	 * @return the reply, or a failure with {@code sent} true
 	 */
 	public Either<HttpFailure, StreamedReply> callStreaming(HttpCall call, long timeoutMs) {
 		try {
-			timeout(timeoutMs);
+			setReadTimeout(timeoutMs);
 			ClassicHttpRequest request = request(call);
 			HttpCoreContext context = HttpCoreContext.create();
 			EXECUTOR.preProcess(request, PROCESSOR, context);
 			ClassicHttpResponse response = EXECUTOR.execute(request, this.connection, context);
-			boolean keep = DefaultConnectionReuseStrategy.INSTANCE.keepAlive(request, response, context);
+			boolean keepAlive = DefaultConnectionReuseStrategy.INSTANCE.keepAlive(request, response, context);
 			List<HttpField> fields = new ArrayList<>();
 			for (Header header : response.getHeaders()) {
 				fields.add(new HttpField(header.getName(), header.getValue()));
 			}
 			InputStream body = (response.getEntity() != null) ? response.getEntity().getContent()
 					: InputStream.nullInputStream();
-			return Either.right(new StreamedReply(this, response.getCode(), fields, body, keep));
+			return Either.right(new StreamedReply(this, response.getCode(), fields, body, keepAlive));
 		}
 		catch (IOException | HttpException ex) {
 			return Either.left(fail(ex));
@@ -128,10 +129,10 @@
 	}
 
 	/**
-	 * Change how long to wait for bytes.
-	 * @param timeoutMs the wait
+	 * Set the read timeout.
+	 * @param timeoutMs the timeout, in milliseconds
 	 */
-	void timeout(long timeoutMs) {
+	void setReadTimeout(long timeoutMs) {
 		this.connection.setSocketTimeout(Timeout.of(Math.max(timeoutMs, 1), TimeUnit.MILLISECONDS));
 	}
 
@@ -142,21 +143,21 @@
 		return new HttpFailure(kind, true, this.address + ": " + ex.getMessage());
 	}
 
-	int maxBody() {
-		return MAX_BODY;
+	int maxBodyBytes() {
+		return MAX_BODY_BYTES;
 	}
 
-	void doNotReuse() {
-		this.usable = false;
+	void markNotReusable() {
+		this.reusable = false;
 	}
 
 	/**
-	 * Return whether another call can be made on this connection.
-	 * @return true if it can, as far as is known
+	 * Return whether the connection can carry another call.
+	 * @return false if it is closed, stale or marked as not reusable
 	 */
 	public boolean isReusable() {
 		try {
-			return this.usable && !this.connection.isStale();
+			return this.reusable && !this.connection.isStale();
 		}
 		catch (IOException ex) {
 			return false;
@@ -164,7 +165,7 @@
 	}
 
 	/**
-	 * Return where this connection leads.
+	 * Return the address of the peer.
 	 * @return the address
 	 */
 	public Address address() {
@@ -172,10 +173,10 @@
 	}
 
 	/**
-	 * Cut the connection at once, from any thread; a call in progress fails.
+	 * Close the connection immediately; a call in progress fails. Thread-safe.
 	 */
 	public void abort() {
-		this.usable = false;
+		this.reusable = false;
 		closeQuietly(this.socket);
 	}
 
@@ -189,7 +190,7 @@
 			socket.close();
 		}
 		catch (IOException ex) {
-			// The socket is of no further use whether or not it closed well.
+			// The socket is discarded even if the close failed.
 		}
 	}
 
--- a/http/src/main/java/org/tallycart/http/HttpConnectionPool.java
+++ b/http/src/main/java/org/tallycart/http/HttpConnectionPool.java
@@ -10,46 +10,47 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * Idle connections, kept for calls that may be repeated.
+ * Pool of idle client connections, for calls that may be retried.
  * <p>
- * A call that may not be repeated takes a fresh connection: on an idle one it could be
- * lost to a close that crossed it on the way, with no way to tell. Thread-safe.
+ * A call that may not be retried needs a new connection: on an idle one the peer may
+ * close while the call is sent, and it is unknown whether the call was processed.
+ * Thread-safe.
  *
  * @since 0.1
  */
 public final class HttpConnectionPool implements AutoCloseable {
 
-	private final int idlePerAddress;
+	private final int maxIdlePerAddress;
 
 	private final Map<Address, Deque<HttpConnection>> idle = new HashMap<>();
 
-	private HttpConnectionPool(int idlePerAddress) {
-		this.idlePerAddress = idlePerAddress;
+	private HttpConnectionPool(int maxIdlePerAddress) {
+		this.maxIdlePerAddress = maxIdlePerAddress;
 	}
 
 	/**
 	 * Create a pool.
-	 * @param idlePerAddress idle connections kept for one address, at most
+	 * @param maxIdlePerAddress the maximum number of idle connections per address
 	 * @return the pool
 	 */
-	public static HttpConnectionPool create(int idlePerAddress) {
-		return new HttpConnectionPool(idlePerAddress);
+	public static HttpConnectionPool create(int maxIdlePerAddress) {
+		return new HttpConnectionPool(maxIdlePerAddress);
 	}
 
 	/**
-	 * Take an idle connection, or make one.
-	 * @param address where to
-	 * @param timeoutMs how long to try
-	 * @return the connection, or a failure that has not begun
+	 * Take an idle connection, or open a new one.
+	 * @param address the address of the peer
+	 * @param timeoutMs the connect timeout, in milliseconds
+	 * @return the connection, or a failure with {@code sent} false
 	 */
 	public Either<HttpFailure, HttpConnection> lease(Address address, long timeoutMs) {
-		HttpConnection found = pop(address);
-		while (found != null) {
-			if (found.isReusable()) {
-				return Either.right(found);
+		HttpConnection connection = pop(address);
+		while (connection != null) {
+			if (connection.isReusable()) {
+				return Either.right(connection);
 			}
-			found.abort();
-			found = pop(address);
+			connection.abort();
+			connection = pop(address);
 		}
 		return HttpConnection.connect(address, timeoutMs);
 	}
@@ -60,19 +61,19 @@
 	}
 
 	/**
-	 * Give a connection back after a call whose answer was read to its end.
+	 * Return a connection to the pool after a call, or close it if it is not reusable.
 	 * @param connection the connection
 	 */
 	public void release(HttpConnection connection) {
-		boolean kept = connection.isReusable() && push(connection);
-		if (!kept) {
+		boolean pooled = connection.isReusable() && push(connection);
+		if (!pooled) {
 			connection.abort();
 		}
 	}
 
 	private synchronized boolean push(HttpConnection connection) {
 		Deque<HttpConnection> queue = this.idle.computeIfAbsent(connection.address(), (key) -> new ArrayDeque<>());
-		if (queue.size() >= this.idlePerAddress) {
+		if (queue.size() >= this.maxIdlePerAddress) {
 			return false;
 		}
 		queue.addFirst(connection);
@@ -81,10 +82,10 @@
 
 	/**
 	 * Make one call on a pooled connection.
-	 * @param address where to
+	 * @param address the address of the peer
 	 * @param call the call
-	 * @param timeoutMs how long to wait for the connection, and again for bytes
-	 * @return the answer, or a failure
+	 * @param timeoutMs the connect timeout and the read timeout, in milliseconds
+	 * @return the reply, or a failure
 	 */
 	public Either<HttpFailure, HttpReply> call(Address address, HttpCall call, long timeoutMs) {
 		return lease(address, timeoutMs).flatMap((connection) -> {
--- a/http/src/main/java/org/tallycart/http/HttpFailure.java
+++ b/http/src/main/java/org/tallycart/http/HttpFailure.java
@@ -1,11 +1,11 @@
 package org.tallycart.http;
 
 /**
- * Why an HTTP call has no answer.
+ * Failure of an HTTP call.
  *
  * @param kind the kind of failure
- * @param sent whether a byte of the call may have left this process
- * @param message a short text for people
+ * @param sent whether a byte of the call may have been sent
+ * @param message the description, for logs
  * @since 0.1
  */
 public record HttpFailure(Kind kind, boolean sent, String message) {
@@ -13,13 +13,13 @@
 	/** Kinds of failure. */
 	public enum Kind {
 
-		/** No connection could be made. */
+		/** The connection could not be established. */
 		CONNECT,
-		/** Nothing came for too long. */
+		/** No byte arrived within the read timeout. */
 		TIMEOUT,
-		/** The connection broke, or what came was not HTTP. */
+		/** The connection failed, or the reply is not valid HTTP. */
 		BROKEN,
-		/** The answer is larger than is taken. */
+		/** The reply body exceeds the limit. */
 		TOO_LARGE
 
 	}
--- a/http/src/main/java/org/tallycart/http/HttpField.java
+++ b/http/src/main/java/org/tallycart/http/HttpField.java
@@ -1,10 +1,10 @@
 package org.tallycart.http;
 
 /**
- * A header field.
+ * Header field.
  *
- * @param name its name
- * @param value its value
+ * @param name the field name
+ * @param value the field value
  * @since 0.1
  */
 public record HttpField(String name, String value) {
--- a/http/src/main/java/org/tallycart/http/HttpReply.java
+++ b/http/src/main/java/org/tallycart/http/HttpReply.java
@@ -5,19 +5,19 @@
 import java.util.Optional;
 
 /**
- * A whole answer.
+ * Reply with its full body.
  *
  * @param status the status code
- * @param fields its header fields
- * @param body its body
+ * @param fields the header fields
+ * @param body the body bytes
  * @since 0.1
  */
 public record HttpReply(int status, List<HttpField> fields, byte[] body) {
 
 	/**
-	 * Return a header field's value.
-	 * @param name the field's name, in any case
-	 * @return the value, or empty
+	 * Return the value of the first header field with a name.
+	 * @param name the field name, case-insensitive
+	 * @return the value, or empty if the field is absent
 	 */
 	public Optional<String> field(String name) {
 		return this.fields.stream()
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * Return the body as text in UTF-8.
+	 * Return the body decoded as UTF-8.
 	 * @return the text
 	 */
 	public String text() {
@@ -35,7 +35,7 @@
 	}
 
 	/**
-	 * Return whether the status is one of success.
+	 * Return whether the status code means success.
 	 * @return true for 200 to 299
 	 */
 	public boolean isSuccess() {
--- a/http/src/main/java/org/tallycart/http/ServerConnection.java
+++ b/http/src/main/java/org/tallycart/http/ServerConnection.java
@@ -4,7 +4,7 @@
 import java.net.Socket;
 
 /**
- * A connection that a listener has accepted.
+ * Connection accepted by a {@link BlockingHttpServer}.
  * <p>
  * Thread-safe.
  *
@@ -12,7 +12,7 @@
  */
 final class ServerConnection {
 
-	/** Name under which a request's context holds its connection. */
+	/** Name of the attribute of the request context that holds the connection. */
 	static final String ATTRIBUTE = "tallycart.connection";
 
 	private final Socket socket;
@@ -29,7 +29,7 @@
 		return this.socket;
 	}
 
-	boolean served() {
+	boolean hasServed() {
 		return this.served;
 	}
 
@@ -37,17 +37,17 @@
 		this.busy = true;
 	}
 
-	void onAnswered() {
+	void onResponse() {
 		this.served = true;
 		this.busy = false;
 	}
 
 	/**
-	 * End the connection if its thread waits for a next request of which no byte has
-	 * come. Only the input is shut, so that an answer to a request that has just been
-	 * read can still be written.
+	 * Shut down the input if the connection waits for its next request and no byte of it
+	 * has arrived. The output stays open, so that the response to a request that was read
+	 * concurrently can still be written.
 	 */
-	void endIfIdle() {
+	void shutdownIfIdle() {
 		try {
 			if (this.served && !this.busy && !this.socket.isInputShutdown()
 					&& this.socket.getInputStream().available() == 0) {
@@ -64,7 +64,7 @@
 			this.socket.close();
 		}
 		catch (IOException ex) {
-			// The socket is of no further use whether or not it closed well.
+			// The socket is discarded even if the close failed.
 		}
 	}
 
--- a/http/src/main/java/org/tallycart/http/StreamedReply.java
+++ b/http/src/main/java/org/tallycart/http/StreamedReply.java
@@ -12,7 +12,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An answer whose body is read line by line or as a whole.
+ * Reply whose body is read line by line or fully.
  * <p>
  * Not thread-safe.
  *
@@ -28,16 +28,16 @@
 
 	private final InputStream body;
 
-	private final boolean keep;
+	private final boolean keepAlive;
 
 	private @Nullable BufferedReader reader;
 
-	StreamedReply(HttpConnection connection, int status, List<HttpField> fields, InputStream body, boolean keep) {
+	StreamedReply(HttpConnection connection, int status, List<HttpField> fields, InputStream body, boolean keepAlive) {
 		this.connection = connection;
 		this.status = status;
 		this.fields = fields;
 		this.body = body;
-		this.keep = keep;
+		this.keepAlive = keepAlive;
 	}
 
 	/**
@@ -49,9 +49,9 @@
 	}
 
 	/**
-	 * Return a header field's value.
-	 * @param name the field's name, in any case
-	 * @return the value, or empty
+	 * Return the value of the first header field with a name.
+	 * @param name the field name, case-insensitive
+	 * @return the value, or empty if the field is absent
 	 */
 	public Optional<String> field(String name) {
 		return new HttpReply(this.status, this.fields, new byte[0]).field(name);
@@ -59,17 +59,17 @@
 
 	/**
 	 * Read the body to its end.
-	 * @return the whole answer, or a failure
+	 * @return the full reply, or a failure
 	 */
 	public Either<HttpFailure, HttpReply> readFully() {
 		try {
-			byte[] bytes = this.body.readNBytes(this.connection.maxBody() + 1);
-			if (bytes.length > this.connection.maxBody()) {
+			byte[] bytes = this.body.readNBytes(this.connection.maxBodyBytes() + 1);
+			if (bytes.length > this.connection.maxBodyBytes()) {
 				this.connection.abort();
 				return Either.left(new HttpFailure(HttpFailure.Kind.TOO_LARGE, true,
-						"the answer is over " + this.connection.maxBody() + " bytes"));
+						"the reply body exceeds " + this.connection.maxBodyBytes() + " bytes"));
 			}
-			finish();
+			onBodyEnd();
 			return Either.right(new HttpReply(this.status, this.fields, bytes));
 		}
 		catch (IOException ex) {
@@ -78,19 +78,19 @@
 	}
 
 	/**
-	 * Read the next line.
-	 * @param timeoutMs how long to wait for bytes
-	 * @return the line, empty at the body's end, or a failure
+	 * Read the next line of the body, as UTF-8.
+	 * @param timeoutMs the read timeout, in milliseconds
+	 * @return the line, empty at the end of the body, or a failure
 	 */
 	public Either<HttpFailure, Optional<String>> nextLine(long timeoutMs) {
 		try {
-			this.connection.timeout(timeoutMs);
+			this.connection.setReadTimeout(timeoutMs);
 			if (this.reader == null) {
 				this.reader = new BufferedReader(new InputStreamReader(this.body, StandardCharsets.UTF_8));
 			}
 			Optional<String> line = Optional.ofNullable(this.reader.readLine());
 			if (line.isEmpty()) {
-				finish();
+				onBodyEnd();
 			}
 			return Either.right(line);
 		}
@@ -99,14 +99,14 @@
 		}
 	}
 
-	private void finish() {
-		if (!this.keep) {
-			this.connection.doNotReuse();
+	private void onBodyEnd() {
+		if (!this.keepAlive) {
+			this.connection.markNotReusable();
 		}
 	}
 
 	/**
-	 * Return the connection this answer comes by.
+	 * Return the connection that carries this reply.
 	 * @return the connection
 	 */
 	public HttpConnection connection() {
--- a/http/src/main/java/org/tallycart/http/event/Call.java
+++ b/http/src/main/java/org/tallycart/http/event/Call.java
@@ -1,20 +1,20 @@
 package org.tallycart.http.event;
 
 /**
- * A call in progress.
+ * Call in progress.
  * <p>
- * Not thread-safe: belongs to its event loop.
+ * Not thread-safe: confined to its event loop.
  *
  * @since 0.1
  */
 public interface Call {
 
-	/** Give the call up and close its connection; its listener hears nothing more. */
+	/** Cancel the call and close its connection; its listener is not called again. */
 	void cancel();
 
 	/**
-	 * Stop or go on reading the reply.
-	 * @param paused whether to stop
+	 * Pause or resume reading the reply.
+	 * @param paused true to pause, false to resume
 	 */
 	void setPaused(boolean paused);
 
--- a/http/src/main/java/org/tallycart/http/event/CallFailure.java
+++ b/http/src/main/java/org/tallycart/http/event/CallFailure.java
@@ -1,11 +1,11 @@
 package org.tallycart.http.event;
 
 /**
- * Why a call has no whole reply.
+ * Failure of a call that has no full reply.
  *
- * @param kind what happened
- * @param sent whether a byte of the call may have left this process
- * @param detail a short text for people
+ * @param kind the kind of failure
+ * @param sent whether a byte of the call may have been sent
+ * @param detail the description, for logs
  * @since 0.1
  */
 public record CallFailure(Kind kind, boolean sent, String detail) {
@@ -13,11 +13,14 @@
 	/** Kinds of failure. */
 	public enum Kind {
 
-		/** No connection could be made in time. */
+		/** The connection could not be established within the timeout. */
 		NOT_CONNECTED,
-		/** The connection ended before the reply was whole. */
+		/**
+		 * The connection was closed, or the timeout passed, before the reply was
+		 * complete.
+		 */
 		CLOSED,
-		/** What came is no reply. */
+		/** The received bytes are not a valid reply. */
 		MALFORMED
 
 	}
--- a/http/src/main/java/org/tallycart/http/event/CallerConnection.java
+++ b/http/src/main/java/org/tallycart/http/event/CallerConnection.java
@@ -23,12 +23,12 @@
 import org.tallycart.core.outcome.UncaughtErrorReporter;
 
 /**
- * A caller's connection: reads requests one after the other, each whole, and writes their
- * answers.
+ * Connection of a caller: reads requests one at a time, each fully, and writes their
+ * responses.
  * <p>
- * Invariants: one request is handled at a time, so answers keep the order of requests;
- * what follows malformed framing is never read as a request. Not thread-safe: belongs to
- * its event loop.
+ * Invariants: one request is handled at a time, so responses keep the order of requests;
+ * bytes that follow malformed framing are never parsed as a request. Not thread-safe:
+ * confined to its event loop.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter implements MessageReader.Sink<HttpRequest> {
 
@@ -40,12 +40,12 @@
 
 	private static final int HEAD_TOO_LARGE = 431;
 
-	/** Pipelined bytes kept while a request is handled; a caller with more waits. */
+	/** Pipelined bytes buffered while a request is handled; above it reading stops. */
 	private static final int MAX_UNPARSED_BYTES = 64 * 1024;
 
 	/**
-	 * How long a connection stays open after an error answer, so that a caller that still
-	 * sends reads the answer rather than a reset. Far above a round trip.
+	 * Delay before the close that follows an error response, so that a caller that still
+	 * sends reads the response rather than a reset.
 	 */
 	private static final long LINGER_MS = 1_000;
 
@@ -61,7 +61,7 @@
 
 	private ByteBuf body = Unpooled.EMPTY_BUFFER;
 
-	private @Nullable ActiveResponder exchange;
+	private @Nullable ActiveResponder responder;
 
 	private boolean closing;
 
@@ -88,10 +88,10 @@
 	public void channelInactive(ChannelHandlerContext context) {
 		this.registry.remove(this);
 		cancelTimer();
-		ActiveResponder present = this.exchange;
-		this.exchange = null;
-		if (present != null) {
-			present.onGone();
+		ActiveResponder active = this.responder;
+		this.responder = null;
+		if (active != null) {
+			active.onDisconnected();
 		}
 	}
 
@@ -113,25 +113,25 @@
 	}
 
 	private void receive(ChannelHandlerContext context, ByteBuf bytes) {
-		if (this.refused || this.closing && this.exchange == null) {
+		if (this.refused || this.closing && this.responder == null) {
 			return;
 		}
-		boolean between = this.exchange == null && this.head == null && this.reader.incompleteHeadBytes() == 0;
-		if (between) {
+		boolean betweenRequests = this.responder == null && this.head == null && this.reader.incompleteHeadBytes() == 0;
+		if (betweenRequests) {
 			scheduleHeadTimeout();
 		}
 		this.reader.receive(bytes);
-		if (this.exchange == null && this.reader.incompleteHeadBytes() > this.handler.limits().maxHeadBytes()) {
+		if (this.responder == null && this.reader.incompleteHeadBytes() > this.handler.limits().maxHeadBytes()) {
 			refuse(HEAD_TOO_LARGE, "head too large");
 		}
-		if (this.exchange != null && this.reader.unparsed() > MAX_UNPARSED_BYTES) {
+		if (this.responder != null && this.reader.unparsedBytes() > MAX_UNPARSED_BYTES) {
 			context.channel().config().setAutoRead(false);
 		}
 	}
 
 	@Override
-	public boolean wantsMore() {
-		return this.exchange == null && !this.refused;
+	public boolean isReady() {
+		return this.responder == null && !this.refused;
 	}
 
 	@Override
@@ -148,7 +148,7 @@
 			return framing;
 		}
 		if (request.containsHeader("Expect")) {
-			channel().writeAndFlush(Unpooled.wrappedBuffer(HeadWriter.CONTINUE));
+			requireContext().writeAndFlush(Unpooled.wrappedBuffer(HeadWriter.CONTINUE));
 		}
 		return framing;
 	}
@@ -174,9 +174,9 @@
 		byte[] bytes = new byte[this.body.readableBytes()];
 		this.body.readBytes(bytes);
 		this.body = Unpooled.EMPTY_BUFFER;
-		ActiveResponder fresh = new ActiveResponder(keepsAlive(request));
-		this.exchange = fresh;
-		this.handler.onRequest(request, bytes, fresh);
+		ActiveResponder active = new ActiveResponder(isKeepAlive(request));
+		this.responder = active;
+		this.handler.onRequest(request, bytes, active);
 	}
 
 	@Override
@@ -184,17 +184,17 @@
 		refuse(BAD_REQUEST, reason);
 	}
 
-	private static boolean keepsAlive(HttpRequest request) {
-		boolean old = request.getVersion() != null && request.getVersion().lessEquals(HttpVersion.HTTP_1_0);
+	private static boolean isKeepAlive(HttpRequest request) {
+		boolean http10 = request.getVersion() != null && request.getVersion().lessEquals(HttpVersion.HTTP_1_0);
 		for (Header field : request.getHeaders("Connection")) {
 			if (field.getValue().toLowerCase(Locale.ROOT).contains("close")) {
 				return false;
 			}
 		}
-		return !old;
+		return !http10;
 	}
 
-	// Answers a request that is not read to its end, and closes.
+	// Sends an error response to a request that is not read fully, then closes.
 	private void refuse(int status, String reason) {
 		if (this.refused) {
 			return;
@@ -205,38 +205,38 @@
 		HttpResponse response = new BasicHttpResponse(status);
 		response.addHeader("Content-Length", "0");
 		response.addHeader("Connection", "close");
-		ChannelHandlerContext open = channel();
-		open.writeAndFlush(Unpooled.wrappedBuffer(HeadWriter.response(response)));
-		schedule(LINGER_MS, open::close);
+		ChannelHandlerContext current = requireContext();
+		current.writeAndFlush(Unpooled.wrappedBuffer(HeadWriter.response(response)));
+		schedule(LINGER_MS, current::close);
 	}
 
-	/** Closes the connection once it carries no request. */
+	/** Closes the connection now if it is idle, otherwise after its current request. */
 	void closeWhenIdle() {
 		this.closing = true;
-		if (this.exchange == null && this.head == null && this.reader.incompleteHeadBytes() == 0) {
-			channel().close();
+		if (this.responder == null && this.head == null && this.reader.incompleteHeadBytes() == 0) {
+			requireContext().close();
 		}
 	}
 
-	boolean busy() {
-		return this.exchange != null || this.head != null;
+	boolean isBusy() {
+		return this.responder != null || this.head != null;
 	}
 
-	private void next() {
-		this.exchange = null;
+	private void onResponseEnd() {
+		this.responder = null;
 		if (this.closing) {
 			return;
 		}
-		channel().channel().config().setAutoRead(true);
+		requireContext().channel().config().setAutoRead(true);
 		scheduleIdle();
-		if (this.reader.unparsed() > 0) {
+		if (this.reader.unparsedBytes() > 0) {
 			scheduleHeadTimeout();
-			this.reader.proceed();
+			this.reader.resume();
 		}
 	}
 
 	private void scheduleIdle() {
-		schedule(this.handler.limits().idleTimeoutMs(), () -> channel().close());
+		schedule(this.handler.limits().idleTimeoutMs(), () -> requireContext().close());
 	}
 
 	private void scheduleHeadTimeout() {
@@ -245,7 +245,7 @@
 
 	private void schedule(long delayMs, Runnable action) {
 		cancelTimer();
-		this.timer = channel().executor().schedule(action, delayMs, TimeUnit.MILLISECONDS);
+		this.timer = requireContext().executor().schedule(action, delayMs, TimeUnit.MILLISECONDS);
 	}
 
 	private void cancelTimer() {
@@ -255,27 +255,27 @@
 		}
 	}
 
-	private ChannelHandlerContext channel() {
-		return InvariantViolation.requirePresent(this.context, "a connection without a channel");
+	private ChannelHandlerContext requireContext() {
+		return InvariantViolation.requirePresent(this.context, "the connection has no channel context");
 	}
 
 	@Override
 	public void channelWritabilityChanged(ChannelHandlerContext context) {
-		if (this.exchange != null) {
-			this.exchange.onWritability(context.channel().isWritable());
+		if (this.responder != null) {
+			this.responder.onWritability(context.channel().isWritable());
 		}
 	}
 
-	/** The answer to the request that is being handled. */
+	/** Responder of the request that is being handled. */
 	private final class ActiveResponder implements Responder {
 
 		private final boolean keepAlive;
 
 		private boolean ended;
 
-		private @Nullable Runnable gone;
+		private @Nullable Runnable disconnectAction;
 
-		private @Nullable BackpressureListener backpressure;
+		private @Nullable BackpressureListener backpressureListener;
 
 		ActiveResponder(boolean keepAlive) {
 			this.keepAlive = keepAlive;
@@ -287,9 +287,9 @@
 				return;
 			}
 			response.setHeader("Content-Length", String.valueOf(bytes.length));
-			boolean close = markClose(response);
-			ByteBuf all = Unpooled.wrappedBuffer(HeadWriter.response(response), bytes);
-			finish(all, close);
+			boolean close = addCloseField(response);
+			ByteBuf message = Unpooled.wrappedBuffer(HeadWriter.response(response), bytes);
+			finish(message, close);
 		}
 
 		@Override
@@ -298,13 +298,13 @@
 				return;
 			}
 			response.setHeader("Transfer-Encoding", "chunked");
-			markClose(response);
-			channel().writeAndFlush(Unpooled.wrappedBuffer(HeadWriter.response(response)));
+			addCloseField(response);
+			requireContext().writeAndFlush(Unpooled.wrappedBuffer(HeadWriter.response(response)));
 		}
 
-		private boolean markClose(HttpResponse response) {
+		private boolean addCloseField(HttpResponse response) {
 			boolean close = !this.keepAlive || CallerConnection.this.closing
-					|| CallerConnection.this.registry.draining();
+					|| CallerConnection.this.registry.isDraining();
 			if (close) {
 				response.setHeader("Connection", "close");
 				CallerConnection.this.closing = true;
@@ -317,8 +317,8 @@
 			if (this.ended || part.length == 0) {
 				return;
 			}
-			channel()
-				.writeAndFlush(Unpooled.wrappedBuffer(HeadWriter.chunkSize(part.length), part, HeadWriter.LINE_END));
+			requireContext()
+				.writeAndFlush(Unpooled.wrappedBuffer(HeadWriter.chunkSize(part.length), part, HeadWriter.CRLF));
 		}
 
 		@Override
@@ -330,43 +330,43 @@
 
 		private void finish(ByteBuf last, boolean close) {
 			this.ended = true;
-			var written = channel().writeAndFlush(last);
+			var written = requireContext().writeAndFlush(last);
 			if (close) {
 				CallerConnection.this.closing = true;
 				written.addListener(ChannelFutureListener.CLOSE);
 			}
-			next();
+			onResponseEnd();
 		}
 
 		@Override
 		public void abort() {
 			if (!this.ended) {
 				this.ended = true;
-				channel().close();
+				requireContext().close();
 			}
 		}
 
 		@Override
 		public void onCallerDisconnected(Runnable action) {
-			this.gone = action;
+			this.disconnectAction = action;
 		}
 
 		@Override
 		public void onBackpressure(BackpressureListener listener) {
-			this.backpressure = listener;
+			this.backpressureListener = listener;
 		}
 
 		private void onWritability(boolean writable) {
-			if (this.backpressure != null && !this.ended) {
-				this.backpressure.onPaused(!writable);
+			if (this.backpressureListener != null && !this.ended) {
+				this.backpressureListener.onPaused(!writable);
 			}
 		}
 
-		private void onGone() {
+		private void onDisconnected() {
 			if (!this.ended) {
 				this.ended = true;
-				if (this.gone != null) {
-					this.gone.run();
+				if (this.disconnectAction != null) {
+					this.disconnectAction.run();
 				}
 			}
 		}
--- a/http/src/main/java/org/tallycart/http/event/ClientRequest.java
+++ b/http/src/main/java/org/tallycart/http/event/ClientRequest.java
@@ -4,41 +4,40 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * One call of an upstream or of the platform's service.
+ * Request to an upstream or to the service of the platform, with its connection options.
  * <p>
- * Immutable, given that the head and body are not changed.
+ * Not changed by this class; the head and the body are not copied.
  *
- * @param poolName which connections may carry it; connections are not shared between
- * pools
- * @param address where to
- * @param head the request's head, without framing fields
- * @param body the request's body
- * @param connectTimeoutMs how long a new connection may take, in milliseconds
- * @param reuseConnection whether a kept connection may carry it
+ * @param poolName the name of the connection pool; pools do not share connections
+ * @param address the address of the peer
+ * @param head the request head, without framing fields
+ * @param body the request body
+ * @param connectTimeoutMs the connect timeout, in milliseconds
+ * @param reuseConnection whether a pooled connection may be used
  * @since 0.1
  */
 public record ClientRequest(String poolName, Address address, HttpRequest head, byte[] body, int connectTimeoutMs,
 		boolean reuseConnection) {
 
 	/**
-	 * Begin to describe a call.
-	 * @param pool which connections may carry it
-	 * @param address where to
-	 * @param head the request's head
+	 * Create a builder.
+	 * @param poolName the name of the connection pool
+	 * @param address the address of the peer
+	 * @param head the request head, without framing fields
 	 * @return a builder
 	 */
-	public static Builder builder(String pool, Address address, HttpRequest head) {
-		return new Builder(pool, address, head);
+	public static Builder builder(String poolName, Address address, HttpRequest head) {
+		return new Builder(poolName, address, head);
 	}
 
 	/**
-	 * Builds a call. Not thread-safe.
+	 * Builder of {@link ClientRequest}. Not thread-safe.
 	 */
 	public static final class Builder {
 
 		private static final int DEFAULT_CONNECT_TIMEOUT_MS = 500;
 
-		private final String pool;
+		private final String poolName;
 
 		private final Address address;
 
@@ -48,17 +47,17 @@
 
 		private int connectTimeoutMs = DEFAULT_CONNECT_TIMEOUT_MS;
 
-		private boolean reuse = true;
+		private boolean reuseConnection = true;
 
-		private Builder(String pool, Address address, HttpRequest head) {
-			this.pool = pool;
+		private Builder(String poolName, Address address, HttpRequest head) {
+			this.poolName = poolName;
 			this.address = address;
 			this.head = head;
 		}
 
 		/**
 		 * Set the body.
-		 * @param bytes the body
+		 * @param bytes the request body
 		 * @return this builder
 		 */
 		public Builder body(byte[] bytes) {
@@ -67,8 +66,8 @@
 		}
 
 		/**
-		 * Set how long a new connection may take.
-		 * @param timeoutMs milliseconds; 500 if not set
+		 * Set the connect timeout.
+		 * @param timeoutMs the timeout, in milliseconds; 500 by default
 		 * @return this builder
 		 */
 		public Builder connectTimeoutMs(int timeoutMs) {
@@ -77,20 +76,21 @@
 		}
 
 		/**
-		 * Ask for a new connection.
+		 * Require a new connection instead of a pooled one.
 		 * @return this builder
 		 */
 		public Builder requireNewConnection() {
-			this.reuse = false;
+			this.reuseConnection = false;
 			return this;
 		}
 
 		/**
-		 * Build the call.
-		 * @return the call
+		 * Build the request.
+		 * @return the request
 		 */
 		public ClientRequest build() {
-			return new ClientRequest(this.pool, this.address, this.head, this.body, this.connectTimeoutMs, this.reuse);
+			return new ClientRequest(this.poolName, this.address, this.head, this.body, this.connectTimeoutMs,
+					this.reuseConnection);
 		}
 
 	}
--- a/http/src/main/java/org/tallycart/http/event/ConnectionPool.java
+++ b/http/src/main/java/org/tallycart/http/event/ConnectionPool.java
@@ -8,24 +8,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Kept connections to one upstream.
+ * Pool of idle connections to one upstream.
  * <p>
- * Not thread-safe: belongs to one event loop.
+ * Not thread-safe: confined to one event loop.
  */
 final class ConnectionPool {
 
 	/**
-	 * How long a connection is reused whose peer announces no timeout: the field counts
-	 * whole seconds, so a shorter timeout cannot be announced.
+	 * Maximum idle time of a connection whose peer sends no {@code Keep-Alive} timeout.
+	 * The field counts whole seconds, so it cannot state a shorter timeout.
 	 */
-	static final long UNANNOUNCED_IDLE_MS = 500;
+	static final long DEFAULT_IDLE_LIMIT_MS = 500;
 
-	/** Share of an announced timeout after which a connection is not used any more. */
-	private static final double USED_SHARE = 0.6;
+	/** Fraction of the {@code Keep-Alive} timeout for which a connection is reused. */
+	private static final double KEEP_ALIVE_FRACTION = 0.6;
 
 	private static final long SECOND_MS = 1_000;
 
-	/** More idle connections than this say that the load has gone. */
+	/** Maximum number of idle connections; above it the oldest is closed. */
 	private static final int MAX_IDLE = 64;
 
 	private final LongSupplier nowMs;
@@ -40,28 +40,28 @@
 		for (String parameter : keepAlive.split(",")) {
 			String[] pair = parameter.trim().split("=", 2);
 			if (pair.length == 2 && "timeout".equalsIgnoreCase(pair[0].trim())) {
-				return seconds(pair[1].trim());
+				return parseIdleLimitMs(pair[1].trim());
 			}
 		}
-		return UNANNOUNCED_IDLE_MS;
+		return DEFAULT_IDLE_LIMIT_MS;
 	}
 
-	private static long seconds(String text) {
+	private static long parseIdleLimitMs(String text) {
 		try {
-			return (long) (Long.parseLong(text) * SECOND_MS * USED_SHARE);
+			return (long) (Long.parseLong(text) * SECOND_MS * KEEP_ALIVE_FRACTION);
 		}
 		catch (NumberFormatException ex) {
-			// An unreadable announcement is the same as none.
-			return UNANNOUNCED_IDLE_MS;
+			// An invalid timeout counts as none.
+			return DEFAULT_IDLE_LIMIT_MS;
 		}
 	}
 
-	// The connection used last is the least likely to be stale.
+	// Most recently used first: that connection is the least likely to be stale.
 	@Nullable UpstreamConnection take() {
 		long now = this.nowMs.getAsLong();
 		while (true) {
 			UpstreamConnection connection = this.idle.pollLast();
-			if (connection == null || connection.usable(now)) {
+			if (connection == null || connection.isUsable(now)) {
 				return connection;
 			}
 			connection.discard();
@@ -69,22 +69,22 @@
 	}
 
 	void release(UpstreamConnection connection) {
-		connection.idleSince(this.nowMs.getAsLong());
+		connection.markIdle(this.nowMs.getAsLong());
 		this.idle.addLast(connection);
 		if (this.idle.size() > MAX_IDLE) {
 			this.idle.pollFirst().discard();
 		}
 	}
 
-	void forget(UpstreamConnection connection) {
+	void remove(UpstreamConnection connection) {
 		this.idle.remove(connection);
 	}
 
-	/** Closes connections that would not be used again. */
+	/** Closes the idle connections that have passed their idle limit. */
 	void closeStale() {
 		long now = this.nowMs.getAsLong();
 		for (UpstreamConnection connection : new ArrayList<>(this.idle)) {
-			if (!connection.usable(now)) {
+			if (!connection.isUsable(now)) {
 				this.idle.remove(connection);
 				connection.discard();
 			}
--- a/http/src/main/java/org/tallycart/http/event/ConnectionRegistry.java
+++ b/http/src/main/java/org/tallycart/http/event/ConnectionRegistry.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 
 /**
- * The open connections of callers, for a graceful stop.
+ * Registry of the open connections of callers, for a graceful shutdown.
  * <p>
- * Not thread-safe: belongs to one event loop.
+ * Not thread-safe: confined to one event loop.
  */
 final class ConnectionRegistry {
 
@@ -23,11 +23,11 @@
 		this.open.remove(connection);
 	}
 
-	boolean draining() {
+	boolean isDraining() {
 		return this.draining;
 	}
 
-	void drain() {
+	void beginDrain() {
 		this.draining = true;
 	}
 
@@ -37,8 +37,8 @@
 		}
 	}
 
-	long busy() {
-		return this.open.stream().filter(CallerConnection::busy).count();
+	long busyCount() {
+		return this.open.stream().filter(CallerConnection::isBusy).count();
 	}
 
 }
--- a/http/src/main/java/org/tallycart/http/event/FullReply.java
+++ b/http/src/main/java/org/tallycart/http/event/FullReply.java
@@ -3,10 +3,10 @@
 import org.apache.hc.core5.http.HttpResponse;
 
 /**
- * A reply that has been read whole.
+ * Reply that was read fully.
  *
- * @param head its head
- * @param body its body
+ * @param head the reply head
+ * @param body the reply body
  * @since 0.1
  */
 public record FullReply(HttpResponse head, byte[] body) {
--- a/http/src/main/java/org/tallycart/http/event/FullReplyCall.java
+++ b/http/src/main/java/org/tallycart/http/event/FullReplyCall.java
@@ -11,10 +11,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A call whose reply is wanted whole, and in time.
+ * Call that collects its full reply, with a timeout.
  * <p>
- * Invariant: the consumer hears of exactly one outcome, unless the call is cancelled
- * first. Not thread-safe: belongs to its event loop.
+ * Invariant: the consumer receives exactly one outcome, unless the call is cancelled
+ * first. Not thread-safe: confined to its event loop.
  *
  * @since 0.1
  */
@@ -38,19 +38,19 @@
 
 	/**
 	 * Make a call.
-	 * @param client makes it
-	 * @param loop the client's event loop, for the timeout
-	 * @param exchange what to send, and where
-	 * @param timeoutMs how long to wait, in milliseconds
-	 * @param consumer takes the outcome, on the event loop
+	 * @param client the client
+	 * @param loop the event loop of the client, which runs the timeout
+	 * @param request the request
+	 * @param timeoutMs the timeout for the full reply, in milliseconds
+	 * @param consumer the consumer of the outcome, called on the event loop
 	 * @return the call in progress
 	 */
-	public static Call start(HttpClient client, ScheduledExecutorService loop, ClientRequest exchange, long timeoutMs,
+	public static Call start(HttpClient client, ScheduledExecutorService loop, ClientRequest request, long timeoutMs,
 			Consumer<Either<CallFailure, FullReply>> consumer) {
-		FullReplyCall whole = new FullReplyCall(consumer);
-		whole.timeout = loop.schedule(whole::onTimeout, timeoutMs, TimeUnit.MILLISECONDS);
-		whole.call = client.call(exchange, whole);
-		return whole;
+		FullReplyCall fullReplyCall = new FullReplyCall(consumer);
+		fullReplyCall.timeout = loop.schedule(fullReplyCall::onTimeout, timeoutMs, TimeUnit.MILLISECONDS);
+		fullReplyCall.call = client.call(request, fullReplyCall);
+		return fullReplyCall;
 	}
 
 	private void onTimeout() {
@@ -58,7 +58,7 @@
 			if (this.call != null) {
 				this.call.cancel();
 			}
-			finish(Either.left(new CallFailure(CallFailure.Kind.CLOSED, true, "no reply in time")));
+			finish(Either.left(new CallFailure(CallFailure.Kind.CLOSED, true, "no full reply within the timeout")));
 		}
 	}
 
--- a/http/src/main/java/org/tallycart/http/event/HeadWriter.java
+++ b/http/src/main/java/org/tallycart/http/event/HeadWriter.java
@@ -13,9 +13,9 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * Writes heads of messages and frames of chunks.
+ * Encoder of message heads and chunk framing.
  * <p>
- * Thread-safe: holds no state.
+ * Stateless and thread-safe.
  */
 final class HeadWriter {
 
@@ -23,29 +23,29 @@
 
 	static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-	static final byte[] LINE_END = { '\r', '\n' };
+	static final byte[] CRLF = { '\r', '\n' };
 
-	private static final int HEAD_CAPACITY = 512;
+	private static final int INITIAL_HEAD_CHARS = 512;
 
 	private HeadWriter() {
 	}
 
 	static byte[] request(HttpRequest request) {
-		CharArrayBuffer head = new CharArrayBuffer(HEAD_CAPACITY);
+		CharArrayBuffer head = new CharArrayBuffer(INITIAL_HEAD_CHARS);
 		RequestLine line = new RequestLine(request.getMethod(), request.getPath(), HttpVersion.HTTP_1_1);
 		BasicLineFormatter.INSTANCE.formatRequestLine(head, line);
-		return finish(head, request.getHeaders());
+		return encode(head, request.getHeaders());
 	}
 
 	static byte[] response(HttpResponse response) {
-		CharArrayBuffer head = new CharArrayBuffer(HEAD_CAPACITY);
+		CharArrayBuffer head = new CharArrayBuffer(INITIAL_HEAD_CHARS);
 		String reason = EnglishReasonPhraseCatalog.INSTANCE.getReason(response.getCode(), null);
 		StatusLine line = new StatusLine(HttpVersion.HTTP_1_1, response.getCode(), (reason != null) ? reason : "");
 		BasicLineFormatter.INSTANCE.formatStatusLine(head, line);
-		return finish(head, response.getHeaders());
+		return encode(head, response.getHeaders());
 	}
 
-	private static byte[] finish(CharArrayBuffer head, Header[] fields) {
+	private static byte[] encode(CharArrayBuffer head, Header[] fields) {
 		head.append("\r\n");
 		for (Header field : fields) {
 			BasicLineFormatter.INSTANCE.formatHeader(head, field);
--- a/http/src/main/java/org/tallycart/http/event/HttpClient.java
+++ b/http/src/main/java/org/tallycart/http/event/HttpClient.java
@@ -17,10 +17,11 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * Makes calls on an event loop, on kept connections where that is allowed.
+ * HTTP client on an event loop, which reuses pooled connections where a request allows
+ * it.
  * <p>
- * Invariant: no call is ever sent twice; a failure says whether a byte of it may have
- * left. Not thread-safe: belongs to its event loop.
+ * Invariant: no call is sent twice; a failure states whether a byte of the call may have
+ * been sent. Not thread-safe: confined to its event loop.
  *
  * @since 0.1
  */
@@ -40,7 +41,7 @@
 	/**
 	 * Create a client.
 	 * @param group an event loop group of one loop
-	 * @param nowMs the steady clock, in milliseconds
+	 * @param nowMs the monotonic clock, in milliseconds
 	 * @return the client
 	 */
 	public static HttpClient create(EventLoopGroup group, LongSupplier nowMs) {
@@ -49,47 +50,47 @@
 
 	/**
 	 * Make a call.
-	 * @param exchange what to send, and where
-	 * @param listener hears of the reply
+	 * @param request the request; {@code Content-Length} is added to its head if needed
+	 * @param listener the listener of the reply
 	 * @return the call in progress
 	 */
-	public Call call(ClientRequest exchange, ReplyListener listener) {
-		if (exchange.body().length > 0 || !"GET".equals(exchange.head().getMethod())) {
-			exchange.head().setHeader("Content-Length", String.valueOf(exchange.body().length));
+	public Call call(ClientRequest request, ReplyListener listener) {
+		if (request.body().length > 0 || !"GET".equals(request.head().getMethod())) {
+			request.head().setHeader("Content-Length", String.valueOf(request.body().length));
 		}
-		ConnectionPool pool = this.pools.computeIfAbsent(exchange.poolName(), (key) -> new ConnectionPool(this.nowMs));
-		UpstreamConnection kept = exchange.reuseConnection() ? pool.take() : null;
-		if (kept != null) {
-			kept.start(exchange, listener);
-			return new StartedCall(kept, listener);
+		ConnectionPool pool = this.pools.computeIfAbsent(request.poolName(), (key) -> new ConnectionPool(this.nowMs));
+		UpstreamConnection pooled = request.reuseConnection() ? pool.take() : null;
+		if (pooled != null) {
+			pooled.start(request, listener);
+			return new StartedCall(pooled, listener);
 		}
-		ConnectingCall call = new ConnectingCall(exchange, listener, pool);
+		ConnectingCall call = new ConnectingCall(request, listener, pool);
 		call.connect();
 		return call;
 	}
 
 	/**
-	 * Close the kept connections of a pool and forget it.
-	 * @param pool the pool
+	 * Close the idle connections of a pool and remove it.
+	 * @param poolName the name of the pool
 	 */
-	public void closePool(String pool) {
-		ConnectionPool present = this.pools.remove(pool);
-		if (present != null) {
-			present.closeAll();
+	public void closePool(String poolName) {
+		ConnectionPool removed = this.pools.remove(poolName);
+		if (removed != null) {
+			removed.closeAll();
 		}
 	}
 
-	/** Close kept connections that are too old to be used; to be called now and then. */
+	/** Close idle connections past their idle limit; to be called periodically. */
 	public void closeStale() {
 		this.pools.values().forEach(ConnectionPool::closeStale);
 	}
 
 	/**
-	 * Find out whether a process listens at an address, by a connection that is closed
-	 * again at once.
+	 * Probe whether a process listens at an address, with a connection that is closed
+	 * immediately.
 	 * @param address the address
-	 * @param timeoutMs how long to wait, in milliseconds
-	 * @param consumer takes the outcome, on the event loop
+	 * @param timeoutMs the connect timeout, in milliseconds
+	 * @param consumer the consumer of the result, called on the event loop
 	 */
 	public void probe(Address address, int timeoutMs, Consumer<ProbeResult> consumer) {
 		ChannelFuture future = new Bootstrap().group(this.group)
@@ -99,11 +100,11 @@
 			.connect(address.host(), address.port());
 		future.addListener((done) -> {
 			future.channel().close();
-			consumer.accept(presence(done.cause()));
+			consumer.accept(probeResult(done.cause()));
 		});
 	}
 
-	private static ProbeResult presence(@Nullable Throwable failure) {
+	private static ProbeResult probeResult(@Nullable Throwable failure) {
 		if (failure == null) {
 			return ProbeResult.ACCEPTS;
 		}
@@ -124,24 +125,24 @@
 
 		@Override
 		public void cancel() {
-			if (this.connection.carries(this.listener)) {
+			if (this.connection.isServing(this.listener)) {
 				this.connection.discard();
 			}
 		}
 
 		@Override
 		public void setPaused(boolean paused) {
-			if (this.connection.carries(this.listener)) {
-				this.connection.pause(paused);
+			if (this.connection.isServing(this.listener)) {
+				this.connection.setPaused(paused);
 			}
 		}
 
 	}
 
-	/** A call that waits for its connection first. */
+	/** Call that is started once its new connection is established. */
 	private final class ConnectingCall implements Call {
 
-		private final ClientRequest exchange;
+		private final ClientRequest request;
 
 		private final ReplyListener listener;
 
@@ -153,8 +154,8 @@
 
 		private boolean cancelled;
 
-		private ConnectingCall(ClientRequest exchange, ReplyListener listener, ConnectionPool pool) {
-			this.exchange = exchange;
+		private ConnectingCall(ClientRequest request, ReplyListener listener, ConnectionPool pool) {
+			this.request = request;
 			this.listener = listener;
 			this.pool = pool;
 		}
@@ -164,9 +165,9 @@
 			ChannelFuture future = new Bootstrap().group(HttpClient.this.group)
 				.channel(NioSocketChannel.class)
 				.option(ChannelOption.TCP_NODELAY, true)
-				.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, this.exchange.connectTimeoutMs())
+				.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, this.request.connectTimeoutMs())
 				.handler(connection)
-				.connect(this.exchange.address().host(), this.exchange.address().port());
+				.connect(this.request.address().host(), this.request.address().port());
 			this.connecting = future;
 			future.addListener((done) -> onConnected(connection, done.isSuccess(), done.cause()));
 		}
@@ -184,7 +185,7 @@
 				return;
 			}
 			this.started = new StartedCall(connection, this.listener);
-			connection.start(this.exchange, this.listener);
+			connection.start(this.request, this.listener);
 		}
 
 		@Override
--- a/http/src/main/java/org/tallycart/http/event/HttpServer.java
+++ b/http/src/main/java/org/tallycart/http/event/HttpServer.java
@@ -14,16 +14,16 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * Listens for callers on an event loop.
+ * HTTP server for callers, on an event loop.
  * <p>
- * Invariant: once drained, every answer closes its connection. Not thread-safe: after it
- * was started it belongs to its event loop.
+ * Invariant: once draining, every response closes its connection. Not thread-safe: after
+ * the start it is confined to its event loop.
  *
  * @since 0.1
  */
 public final class HttpServer {
 
-	/** Connections that may wait to be accepted: a burst of callers after a pause. */
+	/** Maximum number of connections that wait to be accepted. */
 	private static final int BACKLOG = 1024;
 
 	private final Channel channel;
@@ -36,11 +36,11 @@
 	}
 
 	/**
-	 * Listen.
+	 * Bind to an address and start to accept connections.
 	 * @param group an event loop group of one loop
-	 * @param address where; port 0 takes a free one
-	 * @param handler handles requests
-	 * @return the server, or why the address cannot be listened on
+	 * @param address the address to bind; port 0 selects a free port
+	 * @param handler the handler of requests
+	 * @return the server, or an error text if the address cannot be bound
 	 */
 	public static Either<String, HttpServer> start(EventLoopGroup group, Address address, RequestHandler handler) {
 		ConnectionRegistry registry = new ConnectionRegistry();
@@ -64,34 +64,34 @@
 	}
 
 	/**
-	 * Return the port listened on.
-	 * @return the port
+	 * Return the bound port.
+	 * @return the port number
 	 */
 	public int port() {
 		return ((InetSocketAddress) this.channel.localAddress()).getPort();
 	}
 
-	/** Close each connection with its next answer. */
+	/** Start draining: close each connection with its next response. */
 	public void beginDrain() {
-		this.registry.drain();
+		this.registry.beginDrain();
 	}
 
-	/** Close connections that carry no request, and the others when theirs has ended. */
+	/** Close idle connections, and the others once their current request has ended. */
 	public void closeIdle() {
 		this.registry.closeIdle();
 	}
 
-	/** Accept no more connections. */
+	/** Stop accepting connections. */
 	public void stopListening() {
 		this.channel.close();
 	}
 
 	/**
-	 * Return how many connections carry a request.
+	 * Return the number of connections that carry a request.
 	 * @return the count
 	 */
 	public long busyConnections() {
-		return this.registry.busy();
+		return this.registry.busyCount();
 	}
 
 }
--- a/http/src/main/java/org/tallycart/http/event/MessageReader.java
+++ b/http/src/main/java/org/tallycart/http/event/MessageReader.java
@@ -18,12 +18,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Turns received bytes into heads, parts of bodies, and ends of messages.
+ * Incremental parser of received bytes into message heads, body parts and message ends.
  * <p>
- * Invariant: the sink hears of one message at a time, its head first and its end last;
- * after a malformed message it hears of none. Not thread-safe: belongs to one event loop.
+ * Invariant: the sink receives one message at a time, its head first and its end last,
+ * and none after a malformed message. Not thread-safe: confined to one event loop.
  *
- * @param <T> the kind of message
+ * @param <T> the type of message head
  */
 final class MessageReader<T extends HttpMessage> {
 
@@ -37,11 +37,11 @@
 
 	private final ByteBuffer part = ByteBuffer.allocate(PART_BYTES);
 
-	private final EndOfInputChannel inboundEnd = new EndOfInputChannel();
+	private final EndOfInputChannel endOfInput = new EndOfInputChannel();
 
 	private @Nullable ContentDecoder body;
 
-	private int headConsumed;
+	private int consumedHeadBytes;
 
 	private boolean failed;
 
@@ -51,21 +51,21 @@
 	}
 
 	/**
-	 * Parse what can be parsed.
-	 * @param bytes the bytes that came
+	 * Append received bytes and parse as far as possible.
+	 * @param bytes the received bytes
 	 */
 	void receive(ByteBuf bytes) {
 		this.received.add(bytes);
-		proceed();
+		resume();
 	}
 
 	/**
-	 * Go on with bytes that came earlier, after the sink was ready for the next message.
+	 * Parse buffered bytes, once the sink is ready for the next message.
 	 */
-	void proceed() {
+	void resume() {
 		try {
-			while (!this.failed && this.sink.wantsMore() && step()) {
-				// Each step parses one head or one part of a body.
+			while (!this.failed && this.sink.isReady() && step()) {
+				// Each step parses one head or one body part.
 			}
 		}
 		catch (IOException | HttpException ex) {
@@ -75,32 +75,32 @@
 	}
 
 	/**
-	 * Take note that the peer sends nothing more.
-	 * @return whether this ended a body that lasts until then
+	 * Handle the end of the input.
+	 * @return true if it completes a body that is delimited by the close
 	 */
-	boolean inputEnded() {
-		this.inboundEnd.ended = true;
+	boolean onInputEnd() {
+		this.endOfInput.ended = true;
 		boolean endsBody = this.body instanceof IdentityDecoder;
 		if (endsBody) {
-			proceed();
+			resume();
 		}
 		return endsBody;
 	}
 
 	/**
-	 * Return how many bytes wait to be parsed.
+	 * Return the number of buffered bytes that are not parsed yet.
 	 * @return the count
 	 */
-	int unparsed() {
+	int unparsedBytes() {
 		return this.received.length();
 	}
 
 	/**
-	 * Return how long the head is that has begun and is not yet whole.
-	 * @return the bytes that came of it, 0 between messages and in bodies
+	 * Return the size of the incomplete head received so far.
+	 * @return the size in bytes, 0 between messages and within bodies
 	 */
 	int incompleteHeadBytes() {
-		return (this.body != null) ? 0 : this.headConsumed + this.received.length();
+		return (this.body != null) ? 0 : this.consumedHeadBytes + this.received.length();
 	}
 
 	private boolean step() throws IOException, HttpException {
@@ -110,12 +110,12 @@
 	private boolean readHead() throws IOException, HttpException {
 		int before = this.received.length();
 		T head = this.parser.parse(this.received, false);
-		this.headConsumed += before - this.received.length();
+		this.consumedHeadBytes += before - this.received.length();
 		if (head == null) {
 			return false;
 		}
 		this.parser.reset();
-		this.headConsumed = 0;
+		this.consumedHeadBytes = 0;
 		Either<String, BodyFraming> framing = this.sink.onHead(head);
 		if (framing.isLeft()) {
 			fail(framing.getLeft());
@@ -128,9 +128,9 @@
 	private ContentDecoder decoder(BodyFraming framing) {
 		BasicHttpTransportMetrics metrics = new BasicHttpTransportMetrics();
 		return switch (framing.kind()) {
-			case FIXED -> new LengthDelimitedDecoder(this.inboundEnd, this.received, metrics, framing.length());
-			case CHUNKED -> new ChunkDecoder(this.inboundEnd, this.received, metrics);
-			case UNTIL_CLOSE -> new IdentityDecoder(this.inboundEnd, this.received, metrics);
+			case FIXED -> new LengthDelimitedDecoder(this.endOfInput, this.received, metrics, framing.length());
+			case CHUNKED -> new ChunkDecoder(this.endOfInput, this.received, metrics);
+			case UNTIL_CLOSE -> new IdentityDecoder(this.endOfInput, this.received, metrics);
 		};
 	}
 
@@ -154,43 +154,43 @@
 	}
 
 	/**
-	 * Hears of messages.
+	 * Receiver of parsed messages.
 	 *
-	 * @param <T> the kind of message
+	 * @param <T> the type of message head
 	 */
 	interface Sink<T> {
 
 		/**
-		 * Tell whether the next head or part may come now.
-		 * @return false to leave it waiting
+		 * Return whether the sink accepts the next head or part.
+		 * @return false to leave further bytes buffered
 		 */
-		boolean wantsMore();
+		boolean isReady();
 
 		/**
-		 * Take a head.
+		 * Handle a message head.
 		 * @param head the head
-		 * @return how its body is framed, or why the message is malformed
+		 * @return the framing of the body, or the reason why the message is malformed
 		 */
 		Either<String, BodyFraming> onHead(T head);
 
 		/**
-		 * Take a part of the body.
-		 * @param part its bytes
+		 * Handle a part of the body.
+		 * @param part the bytes of the part
 		 */
 		void onBody(byte[] part);
 
-		/** Take note that the message is whole. */
+		/** Handle the end of a complete message. */
 		void onEnd();
 
 		/**
-		 * Take note that what came is no message; nothing more will be parsed.
-		 * @param reason what is wrong
+		 * Handle a malformed message; no further bytes are parsed.
+		 * @param reason the reason
 		 */
 		void onMalformed(String reason);
 
 	}
 
-	/** Tells decoders, which ask when the buffer is empty, whether more can come. */
+	/** Channel without data, from which decoders read only the end of the input. */
 	private static final class EndOfInputChannel implements ReadableByteChannel {
 
 		private boolean ended;
--- a/http/src/main/java/org/tallycart/http/event/ProbeResult.java
+++ b/http/src/main/java/org/tallycart/http/event/ProbeResult.java
@@ -1,19 +1,19 @@
 package org.tallycart.http.event;
 
 /**
- * What a new connection tells of the process that listens at an address.
+ * Result of probing an address with a new connection.
  *
  * @since 0.1
  */
 public enum ProbeResult {
 
-	/** It accepts connections. */
+	/** The connection was accepted. */
 	ACCEPTS,
-	/** Its machine refuses connections: nothing listens there. */
+	/** The connection was refused: no process listens at the address. */
 	REFUSES,
 	/**
-	 * Nothing answers in time, as where a process runs behind a path that is cut, or the
-	 * connection fails in another way than by a refusal.
+	 * The connect timeout passed, or the connection failed in another way than by a
+	 * refusal. The process may still run, for example behind a network partition.
 	 */
 	SILENT
 
--- a/http/src/main/java/org/tallycart/http/event/ReceiveBuffer.java
+++ b/http/src/main/java/org/tallycart/http/event/ReceiveBuffer.java
@@ -12,29 +12,29 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * Bytes received on a channel and not yet parsed, as HttpCore's parsers read them.
+ * Input buffer of HttpCore parsers, filled with the bytes received on a channel.
  * <p>
- * Not thread-safe: belongs to one event loop.
+ * Not thread-safe: confined to one event loop.
  */
 final class ReceiveBuffer implements SessionInputBuffer {
 
-	private static final int FIRST_CAPACITY = 1024;
+	private static final int INITIAL_CAPACITY_BYTES = 1024;
 
-	private static final int KEPT_CAPACITY = 16 * 1024;
+	private static final int MAX_RETAINED_CAPACITY_BYTES = 16 * 1024;
 
-	private ByteBuf bytes = Unpooled.buffer(FIRST_CAPACITY);
+	private ByteBuf bytes = Unpooled.buffer(INITIAL_CAPACITY_BYTES);
 
 	void add(ByteBuf received) {
 		this.bytes.writeBytes(received);
 	}
 
-	/** Gives memory back once everything has been parsed. */
+	/** Releases a large buffer once all of its bytes are parsed. */
 	void trim() {
 		if (this.bytes.isReadable()) {
 			return;
 		}
-		if (this.bytes.capacity() > KEPT_CAPACITY) {
-			this.bytes = Unpooled.buffer(FIRST_CAPACITY);
+		if (this.bytes.capacity() > MAX_RETAINED_CAPACITY_BYTES) {
+			this.bytes = Unpooled.buffer(INITIAL_CAPACITY_BYTES);
 		}
 		else {
 			this.bytes.clear();
@@ -51,7 +51,7 @@
 		return this.bytes.readableBytes();
 	}
 
-	/** The event loop fills this buffer, so a parser never reads from a channel. */
+	/** Reads no bytes: the event loop fills this buffer. Reports the end of the input. */
 	@Override
 	public int fill(ReadableByteChannel channel) throws IOException {
 		return channel.read(ByteBuffer.allocate(0));
@@ -92,16 +92,16 @@
 
 	@Override
 	public boolean readLine(CharArrayBuffer line, boolean endOfStream) {
-		int feed = this.bytes.bytesBefore((byte) '\n');
-		if (feed < 0) {
+		int lineFeed = this.bytes.bytesBefore((byte) '\n');
+		if (lineFeed < 0) {
 			return false;
 		}
-		int length = feed;
+		int length = lineFeed;
 		if (length > 0 && this.bytes.getByte(this.bytes.readerIndex() + length - 1) == '\r') {
 			length--;
 		}
 		line.append(this.bytes.toString(this.bytes.readerIndex(), length, StandardCharsets.ISO_8859_1));
-		this.bytes.skipBytes(feed + 1);
+		this.bytes.skipBytes(lineFeed + 1);
 		return true;
 	}
 
--- a/http/src/main/java/org/tallycart/http/event/ReplyListener.java
+++ b/http/src/main/java/org/tallycart/http/event/ReplyListener.java
@@ -3,34 +3,34 @@
 import org.apache.hc.core5.http.HttpResponse;
 
 /**
- * Hears of the reply to one call. Called on the event loop: must not block.
+ * Listener of the reply to one call. Called on the event loop: must not block.
  * <p>
- * Invariant: it hears of at most one ending, {@link #onEnd()} or
- * {@link #onFailure(CallFailure)}, and of nothing after that or after a cancel.
+ * Invariant: at most one of {@link #onEnd()} and {@link #onFailure(CallFailure)} is
+ * called, and no method after that or after the call is cancelled.
  *
  * @since 0.1
  */
 public interface ReplyListener {
 
 	/**
-	 * Take the head of a reply.
-	 * @param head the head
-	 * @return false if the reply belongs to another call and has to be skipped
+	 * Handle the head of a reply.
+	 * @param head the reply head
+	 * @return false if the reply belongs to another call and must be skipped
 	 */
 	boolean onHead(HttpResponse head);
 
 	/**
-	 * Take a part of the body.
-	 * @param part its bytes
+	 * Handle a part of the body.
+	 * @param part the bytes of the part
 	 */
 	void onBody(byte[] part);
 
-	/** Take note that the reply is whole. */
+	/** Handle the end of a complete reply. */
 	void onEnd();
 
 	/**
-	 * Take note that no whole reply will come.
-	 * @param failure what happened
+	 * Handle the failure of the call.
+	 * @param failure the failure
 	 */
 	void onFailure(CallFailure failure);
 
--- a/http/src/main/java/org/tallycart/http/event/RequestHandler.java
+++ b/http/src/main/java/org/tallycart/http/event/RequestHandler.java
@@ -3,31 +3,31 @@
 import org.apache.hc.core5.http.HttpRequest;
 
 /**
- * Handles requests of callers. Called on the event loop: must not block.
+ * Handler of requests of callers. Called on the event loop: must not block.
  *
  * @since 0.1
  */
 public interface RequestHandler {
 
 	/**
-	 * Handle a request that has been read whole.
-	 * @param head its head
-	 * @param body its body, without framing
-	 * @param responder where the answer goes
+	 * Handle a request that was read fully.
+	 * @param head the request head
+	 * @param body the request body, without framing
+	 * @param responder the writer of the response
 	 */
 	void onRequest(HttpRequest head, byte[] body, Responder responder);
 
 	/**
-	 * Make the answer to a request that the connection itself refuses, before its body is
-	 * read.
-	 * @param status the status
-	 * @param reason why, for the log
+	 * Handle the refusal of a request that was not read fully. The connection itself
+	 * sends the response and closes.
+	 * @param status the status code of the response
+	 * @param reason the reason, for the log
 	 */
 	void onRefused(int status, String reason);
 
 	/**
-	 * Return the limits in force now.
-	 * @return the limits
+	 * Return the active limits.
+	 * @return the limits, read again for each use
 	 */
 	RequestLimits limits();
 
--- a/http/src/main/java/org/tallycart/http/event/Responder.java
+++ b/http/src/main/java/org/tallycart/http/event/Responder.java
@@ -3,60 +3,60 @@
 import org.apache.hc.core5.http.HttpResponse;
 
 /**
- * Writes the answer to one request.
+ * Writer of the response to one request.
  * <p>
- * Invariant: one head, then parts, then one end or abort; whatever comes after the end is
- * dropped. Not thread-safe: belongs to the connection's event loop.
+ * Invariant: one head, then parts, then one end or abort; calls after the end have no
+ * effect. Not thread-safe: confined to the event loop of the connection.
  *
  * @since 0.1
  */
 public interface Responder {
 
 	/**
-	 * Send a whole answer.
-	 * @param head its head, without framing fields
-	 * @param body its body
+	 * Send a full response.
+	 * @param head the response head, without framing fields
+	 * @param body the response body
 	 */
 	void send(HttpResponse head, byte[] body);
 
 	/**
-	 * Begin an answer whose length is not known; it is sent in chunks.
-	 * @param head its head, without framing fields
+	 * Begin a chunked response, whose length is not known in advance.
+	 * @param head the response head, without framing fields
 	 */
 	void begin(HttpResponse head);
 
 	/**
-	 * Send a part of the body.
-	 * @param part its bytes
+	 * Send a part of the body as one chunk.
+	 * @param part the bytes of the part
 	 */
 	void write(byte[] part);
 
-	/** End the answer as complete. */
+	/** Complete the chunked response. */
 	void end();
 
-	/** Close the connection, so that the answer is seen to be incomplete. */
+	/** Close the connection, so that the caller detects an incomplete response. */
 	void abort();
 
 	/**
-	 * Register what to do when the caller is gone before the answer has ended.
-	 * @param action runs at most once
+	 * Set the action to run when the caller disconnects before the response has ended.
+	 * @param action the action, run at most once
 	 */
 	void onCallerDisconnected(Runnable action);
 
 	/**
-	 * Register what to do when the caller reads more slowly than parts are written, and
-	 * when it has caught up.
-	 * @param listener hears true when writing should pause, false when it may go on
+	 * Set the listener to notify when the caller reads more slowly than parts are
+	 * written, and when it has caught up.
+	 * @param listener the listener
 	 */
 	void onBackpressure(BackpressureListener listener);
 
-	/** Hears whether writing should pause. */
+	/** Listener for backpressure of the caller. */
 	@FunctionalInterface
 	interface BackpressureListener {
 
 		/**
-		 * Take note of a change.
-		 * @param paused whether writing should pause
+		 * Handle a change of the backpressure.
+		 * @param paused true if writing should pause, false if it may resume
 		 */
 		void onPaused(boolean paused);
 
--- a/http/src/main/java/org/tallycart/http/event/UpstreamConnection.java
+++ b/http/src/main/java/org/tallycart/http/event/UpstreamConnection.java
@@ -17,10 +17,10 @@
 import org.tallycart.core.outcome.UncaughtErrorReporter;
 
 /**
- * A connection to an upstream, which carries one call at a time.
+ * Connection to an upstream that carries one call at a time.
  * <p>
- * Invariant: bytes that come while no call waits for a reply end the connection, so that
- * they can never be taken for the next reply. Not thread-safe: belongs to its event loop.
+ * Invariant: bytes that arrive while no call is in progress close the connection, so that
+ * they are never taken for the next reply. Not thread-safe: confined to its event loop.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter implements MessageReader.Sink<HttpResponse> {
 
@@ -38,7 +38,7 @@
 
 	private boolean headRequest;
 
-	private boolean skipping;
+	private boolean skippingMessage;
 
 	private boolean keepAlive;
 
@@ -58,37 +58,38 @@
 		this.context = context;
 	}
 
-	void start(ClientRequest exchange, ReplyListener replies) {
-		this.listener = replies;
-		this.skipping = false;
+	void start(ClientRequest request, ReplyListener replyListener) {
+		this.listener = replyListener;
+		this.skippingMessage = false;
 		this.keepAlive = true;
-		this.idleLimitMs = ConnectionPool.UNANNOUNCED_IDLE_MS;
-		this.headRequest = "HEAD".equals(exchange.head().getMethod());
-		channel().writeAndFlush(Unpooled.wrappedBuffer(HeadWriter.request(exchange.head()), exchange.body()));
+		this.idleLimitMs = ConnectionPool.DEFAULT_IDLE_LIMIT_MS;
+		this.headRequest = "HEAD".equals(request.head().getMethod());
+		requireContext().writeAndFlush(Unpooled.wrappedBuffer(HeadWriter.request(request.head()), request.body()));
 	}
 
-	/** Closes the connection without a word to the listener. */
+	/** Closes the connection without notifying the listener. */
 	void discard() {
 		this.listener = null;
-		channel().close();
+		requireContext().close();
 	}
 
-	// Whether the connection still carries the call of a listener.
-	boolean carries(ReplyListener replies) {
-		return this.listener == replies;
+	// Compares by identity: the connection may already carry the call of another
+	// listener.
+	boolean isServing(ReplyListener replyListener) {
+		return this.listener == replyListener;
 	}
 
-	void pause(boolean paused) {
-		channel().channel().config().setAutoRead(!paused);
+	void setPaused(boolean paused) {
+		requireContext().channel().config().setAutoRead(!paused);
 	}
 
-	boolean usable(long nowMs) {
-		return channel().channel().isActive() && nowMs - this.idleSinceMs < this.idleLimitMs;
+	boolean isUsable(long nowMs) {
+		return requireContext().channel().isActive() && nowMs - this.idleSinceMs < this.idleLimitMs;
 	}
 
-	void idleSince(long nowMs) {
+	void markIdle(long nowMs) {
 		this.idleSinceMs = nowMs;
-		channel().channel().config().setAutoRead(true);
+		requireContext().channel().config().setAutoRead(true);
 	}
 
 	@Override
@@ -109,10 +110,10 @@
 
 	@Override
 	public void channelInactive(ChannelHandlerContext context) {
-		if (this.listener != null && !this.reader.inputEnded()) {
+		if (this.listener != null && !this.reader.onInputEnd()) {
 			fail(CallFailure.Kind.CLOSED, "connection closed");
 		}
-		this.pool.forget(this);
+		this.pool.remove(this);
 	}
 
 	@Override
@@ -123,22 +124,22 @@
 	}
 
 	@Override
-	public boolean wantsMore() {
+	public boolean isReady() {
 		return this.listener != null;
 	}
 
 	@Override
 	public Either<String, BodyFraming> onHead(HttpResponse head) {
-		ReplyListener present = this.listener;
-		if (head.getCode() < FIRST_FINAL_STATUS || present == null) {
-			this.skipping = true;
+		ReplyListener currentListener = this.listener;
+		if (head.getCode() < FIRST_FINAL_STATUS || currentListener == null) {
+			this.skippingMessage = true;
 			return Either.right(BodyFraming.EMPTY);
 		}
 		Either<String, BodyFraming> framing = BodyFraming.ofResponse(head, head.getCode(), this.headRequest);
 		if (framing.isLeft()) {
 			return framing;
 		}
-		this.skipping = !present.onHead(head);
+		this.skippingMessage = !currentListener.onHead(head);
 		readConnectionFields(head);
 		if (framing.get().kind() == BodyFraming.Kind.UNTIL_CLOSE) {
 			this.keepAlive = false;
@@ -152,54 +153,54 @@
 				this.keepAlive = false;
 			}
 		}
-		Header announced = head.getFirstHeader("Keep-Alive");
-		if (announced != null) {
-			this.idleLimitMs = ConnectionPool.idleLimitMs(announced.getValue());
+		Header keepAliveField = head.getFirstHeader("Keep-Alive");
+		if (keepAliveField != null) {
+			this.idleLimitMs = ConnectionPool.idleLimitMs(keepAliveField.getValue());
 		}
 	}
 
 	@Override
 	public void onBody(byte[] part) {
-		if (!this.skipping && this.listener != null) {
+		if (!this.skippingMessage && this.listener != null) {
 			this.listener.onBody(part);
 		}
 	}
 
 	@Override
 	public void onEnd() {
-		if (this.skipping) {
-			this.skipping = false;
+		if (this.skippingMessage) {
+			this.skippingMessage = false;
 			return;
 		}
-		ReplyListener present = this.listener;
+		ReplyListener currentListener = this.listener;
 		this.listener = null;
-		if (this.keepAlive && this.reader.unparsed() == 0) {
+		if (this.keepAlive && this.reader.unparsedBytes() == 0) {
 			this.pool.release(this);
 		}
 		else {
-			channel().close();
+			requireContext().close();
 		}
-		if (present != null) {
-			present.onEnd();
+		if (currentListener != null) {
+			currentListener.onEnd();
 		}
 	}
 
 	@Override
 	public void onMalformed(String reason) {
 		fail(CallFailure.Kind.MALFORMED, reason);
-		channel().close();
+		requireContext().close();
 	}
 
 	private void fail(CallFailure.Kind kind, String detail) {
-		ReplyListener present = this.listener;
+		ReplyListener currentListener = this.listener;
 		this.listener = null;
-		if (present != null) {
-			present.onFailure(new CallFailure(kind, true, detail));
+		if (currentListener != null) {
+			currentListener.onFailure(new CallFailure(kind, true, detail));
 		}
 	}
 
-	private ChannelHandlerContext channel() {
-		return InvariantViolation.requirePresent(this.context, "a connection without a channel");
+	private ChannelHandlerContext requireContext() {
+		return InvariantViolation.requirePresent(this.context, "the connection has no channel context");
 	}
 
 }
--- a/http/src/test/java/org/tallycart/http/event/BodyFramingTests.java
+++ b/http/src/test/java/org/tallycart/http/event/BodyFramingTests.java
@@ -8,7 +8,7 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for the framing of bodies.
+ * Tests for {@link BodyFraming}.
  */
 public class BodyFramingTests {
 
@@ -31,12 +31,12 @@
 	}
 
 	@Test(dataProvider = "ambiguous")
-	void ambiguousFramingIsAnError(BasicHttpRequest request) {
+	void rejectsAmbiguousFraming(BasicHttpRequest request) {
 		assertTrue(BodyFraming.ofRequest(request).isLeft());
 	}
 
 	@Test
-	void plainFramingIsRead() {
+	void parsesUnambiguousFraming() {
 		assertEquals(BodyFraming.ofRequest(request("Content-Length", "12")).get().length(), 12);
 		assertEquals(BodyFraming.ofRequest(request("Transfer-Encoding", "Chunked")).get(), BodyFraming.CHUNKED);
 		assertEquals(BodyFraming.ofRequest(request()).get(), BodyFraming.EMPTY);
--- a/http/src/test/java/org/tallycart/http/event/ConnectionTests.java
+++ b/http/src/test/java/org/tallycart/http/event/ConnectionTests.java
@@ -31,7 +31,7 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests for connections of callers and to upstreams, on real sockets.
+ * Tests for {@link HttpServer} and {@link HttpClient} on real sockets.
  */
 public class ConnectionTests {
 
@@ -48,14 +48,14 @@
 	private EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
 	@BeforeMethod
-	void begin() {
+	void setUp() {
 		this.handled.clear();
 		this.refused.clear();
 		this.group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 	}
 
 	@AfterMethod
-	void end() throws InterruptedException {
+	void tearDown() throws InterruptedException {
 		this.group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(WAIT_MS);
 		for (Thread peer : this.peers) {
 			peer.join(WAIT_MS);
@@ -92,14 +92,14 @@
 	}
 
 	@Test
-	void bodiesOfEitherFramingAreReadWholeAndAnswersKeepTheirOrder() throws Exception {
+	void readsBodiesOfBothFramingsAndKeepsResponseOrder() throws Exception {
 		try (Socket socket = connect(server().port())) {
 			write(socket, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"
 					+ "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nde\r\n1\r\nf\r\n0\r\n\r\n"
 					+ "GET /c HTTP/1.1\r\nHost: h\r\n\r\n");
-			String answers = readUntil(socket, "/c ");
-			assertTrue(answers.indexOf("/a abc") < answers.indexOf("/b def"));
-			assertTrue(answers.contains("Content-Length: 6"));
+			String responses = readUntil(socket, "/c ");
+			assertTrue(responses.indexOf("/a abc") < responses.indexOf("/b def"));
+			assertTrue(responses.contains("Content-Length: 6"));
 		}
 	}
 
@@ -115,19 +115,19 @@
 	}
 
 	@Test(dataProvider = "badRequests")
-	void badRequestsAreRefusedAndTheConnectionIsClosed(String text, String status) throws Exception {
+	void refusesBadRequestAndClosesConnection(String text, String status) throws Exception {
 		try (Socket socket = connect(server().port())) {
 			write(socket, text);
-			String answer = readUntil(socket, "no such end");
-			assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
-			assertTrue(answer.contains("Connection: close"));
+			String response = readUntil(socket, "no such end");
+			assertTrue(response.startsWith("HTTP/1.1 " + status), response);
+			assertTrue(response.contains("Connection: close"));
 			assertTrue(this.refused.take().startsWith(status));
 			assertTrue(this.handled.isEmpty());
 		}
 	}
 
 	@Test
-	void nothingThatFollowsABadRequestIsHandled() throws Exception {
+	void ignoresBytesAfterBadRequest() throws Exception {
 		try (Socket socket = connect(server().port())) {
 			write(socket, "POST /a HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 30\r\n\r\nabc"
 					+ "GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -137,7 +137,7 @@
 	}
 
 	@Test
-	void aCallerThatLeavesIsNoticedWhileItsRequestIsHandled() throws Exception {
+	void reportsCallerDisconnectDuringRequest() throws Exception {
 		int port = server().port();
 		try (Socket socket = connect(port)) {
 			write(socket, "GET /held HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -147,7 +147,7 @@
 	}
 
 	@Test
-	void aDrainingServerClosesWithItsNextAnswer() throws Exception {
+	void drainingServerClosesConnectionWithNextResponse() throws Exception {
 		HttpServer server = server();
 		try (Socket socket = connect(server.port())) {
 			write(socket, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -158,8 +158,8 @@
 		}
 	}
 
-	/** An upstream that runs a script: for each request it has read, it writes a text. */
-	private int upstream(List<String> script, Consumer<Integer> onConnection) throws IOException {
+	/** Starts an upstream that writes the next text of the script for each request. */
+	private int startUpstream(List<String> script, Consumer<Integer> onConnection) throws IOException {
 		ServerSocket server = new ServerSocket(0);
 		Thread thread = new Thread(() -> {
 			try (server) {
@@ -194,9 +194,9 @@
 		BlockingQueue<String> outcome = new LinkedBlockingQueue<>();
 		HttpRequest head = new BasicHttpRequest("GET", "/x");
 		head.setHeader("Host", "h");
-		ClientRequest.Builder exchange = ClientRequest.builder("p", new Address("127.0.0.1", port), head);
-		change.accept(exchange);
-		this.group.execute(() -> client.call(exchange.build(), new RecordingListener(outcome)));
+		ClientRequest.Builder request = ClientRequest.builder("p", new Address("127.0.0.1", port), head);
+		change.accept(request);
+		this.group.execute(() -> client.call(request.build(), new RecordingListener(outcome)));
 		return outcome.poll(WAIT_MS, TimeUnit.MILLISECONDS);
 	}
 
@@ -219,59 +219,58 @@
 	}
 
 	@Test(dataProvider = "replies")
-	void onlyAWholeReplyIsAReply(String reply, String outcome) throws Exception {
-		int port = upstream(List.of(reply), (count) -> {
+	void reportsFullRepliesAndFailures(String reply, String outcome) throws Exception {
+		int port = startUpstream(List.of(reply), (count) -> {
 		});
-		assertEquals(call(client(), port, (exchange) -> {
+		assertEquals(call(client(), port, (request) -> {
 		}), outcome);
 	}
 
 	@Test
-	void aPortTellsWhetherAProcessListensThere() throws Exception {
+	void probeTellsWhetherProcessListens() throws Exception {
 		HttpServer server = server();
 		int port = server.port();
-		assertEquals(presence(port), ProbeResult.ACCEPTS);
+		assertEquals(probe(port), ProbeResult.ACCEPTS);
 		this.group.submit(server::stopListening).sync();
-		// A port that closes just then may still accept, or reset what it had not
-		// accepted.
-		ProbeResult after = presence(port);
+		// While the port closes, a connection may still be accepted or reset.
+		ProbeResult after = probe(port);
 		for (int i = 0; after != ProbeResult.REFUSES && i < WAIT_MS; i += 10) {
 			Thread.sleep(10);
-			after = presence(port);
+			after = probe(port);
 		}
 		assertEquals(after, ProbeResult.REFUSES);
 	}
 
-	private ProbeResult presence(int port) throws InterruptedException {
+	private ProbeResult probe(int port) throws InterruptedException {
 		BlockingQueue<ProbeResult> found = new LinkedBlockingQueue<>();
 		client().probe(new Address("127.0.0.1", port), WAIT_MS, found::add);
 		return found.poll(WAIT_MS, TimeUnit.MILLISECONDS);
 	}
 
 	@Test
-	void aConnectionIsKeptOnlyWhereItsReplyWasCleanAndAnnouncedIt() throws Exception {
+	void reusesConnectionUnlessExtraBytesFollowReply() throws Exception {
 		List<Integer> connections = new ArrayList<>();
-		int port = upstream(List.of(OK, OK + "extra", OK), connections::add);
+		int port = startUpstream(List.of(OK, OK + "extra", OK), connections::add);
 		HttpClient client = client();
 		for (int i = 0; i < 3; i++) {
-			assertEquals(call(client, port, (exchange) -> {
+			assertEquals(call(client, port, (request) -> {
 			}), "ok");
 		}
 		assertEquals(connections, List.of(1, 2), "kept once, given up after the extra bytes");
 	}
 
 	@Test
-	void aRefusedConnectionSendsNothing() throws Exception {
+	void refusedConnectionIsReportedAsNotSent() throws Exception {
 		ServerSocket closed = new ServerSocket(0);
 		int port = closed.getLocalPort();
 		closed.close();
-		assertEquals(call(client(), port, (exchange) -> {
+		assertEquals(call(client(), port, (request) -> {
 		}), "NOT_CONNECTED false");
 	}
 
 	@Test
-	void aCallThatIsNotAnsweredInTimeHasOneOutcome() throws Exception {
-		int port = upstream(List.of(""), (count) -> {
+	void timedOutCallHasOneOutcome() throws Exception {
+		int port = startUpstream(List.of(""), (count) -> {
 		});
 		BlockingQueue<Either<CallFailure, FullReply>> outcomes = new LinkedBlockingQueue<>();
 		HttpRequest head = new BasicHttpRequest("GET", "/x");
@@ -282,7 +281,7 @@
 		assertTrue(outcomes.isEmpty());
 	}
 
-	/** Answers each request by its path and body; holds the answer to /held for ever. */
+	/** Responds with the path and body of each request; never responds to /held. */
 	private final class EchoHandler implements RequestHandler {
 
 		@Override
@@ -307,7 +306,7 @@
 
 	}
 
-	/** Records a reply as one line of text; skips replies marked as foreign. */
+	/** Records the outcome as text; skips replies with the field {@code Foreign}. */
 	private static final class RecordingListener implements ReplyListener {
 
 		private final BlockingQueue<String> outcome;
