--- a/steward/src/main/java/org/tallycart/steward/ClaimMessageCodec.java
+++ b/steward/src/main/java/org/tallycart/steward/ClaimMessageCodec.java
@@ -16,7 +16,7 @@
 import org.tallycart.wire.message.SlotClaims;
 
 /**
- * Turns claims into messages and back.
+ * Encodes claims and handovers as wire messages, and decodes them.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -27,16 +27,16 @@
 	private ClaimMessageCodec() {
 	}
 
-	static ClaimHolder holder(Claimant claimant) {
+	static ClaimHolder decodeHolder(Claimant claimant) {
 		return new ClaimHolder(claimant.getVm(), claimant.getAttemptId());
 	}
 
-	static ClaimAnswer answer(ClaimReply reply) {
+	static ClaimAnswer encodeReply(ClaimReply reply) {
 		ClaimAnswer.Builder answer = ClaimAnswer.newBuilder()
 			.setStatus(ClaimAnswer.Status.valueOf(reply.status().name()))
 			.setTerm(reply.term());
 		if (reply.holder() != null) {
-			answer.setHolder(claimant(reply.holder()));
+			answer.setHolder(encodeHolder(reply.holder()));
 		}
 		if (reply.result() != null) {
 			answer.setResult(ByteString.copyFrom(reply.result()));
@@ -44,11 +44,11 @@
 		return answer.build();
 	}
 
-	private static Claimant claimant(ClaimHolder holder) {
+	private static Claimant encodeHolder(ClaimHolder holder) {
 		return Claimant.newBuilder().setVm(holder.vm()).setAttemptId(holder.attemptId()).build();
 	}
 
-	static SlotClaims slotClaims(SlotHandover handover) {
+	static SlotClaims encodeHandover(SlotHandover handover) {
 		SlotClaims.Builder slot = SlotClaims.newBuilder()
 			.setSlot(handover.slot())
 			.setTerm(handover.term())
@@ -56,7 +56,7 @@
 		for (ClaimRecord claim : handover.claims()) {
 			ClaimEntry.Builder entry = ClaimEntry.newBuilder()
 				.setKey(claim.key().text())
-				.setHolder(claimant(claim.holder()));
+				.setHolder(encodeHolder(claim.holder()));
 			if (claim.result() != null) {
 				entry.setFinished(true).setResult(ByteString.copyFrom(claim.result()));
 			}
@@ -65,13 +65,13 @@
 		return slot.build();
 	}
 
-	static List<SlotHandover> handovers(HandoverCall call) {
+	static List<SlotHandover> decodeHandovers(HandoverCall call) {
 		List<SlotHandover> handovers = new ArrayList<>();
 		for (SlotClaims slot : call.getSlotsList()) {
 			List<ClaimRecord> claims = new ArrayList<>();
 			for (ClaimEntry entry : slot.getClaimsList()) {
 				IdempotencyKey.parse(entry.getKey())
-					.peek((key) -> claims.add(new ClaimRecord(key, holder(entry.getHolder()),
+					.peek((key) -> claims.add(new ClaimRecord(key, decodeHolder(entry.getHolder()),
 							entry.getFinished() ? entry.getResult().toByteArray() : null)));
 			}
 			handovers.add(new SlotHandover(slot.getSlot(), slot.getTerm(), slot.getRefuseUntilMs(), call.getSequence(),
--- a/steward/src/main/java/org/tallycart/steward/ControlThread.java
+++ b/steward/src/main/java/org/tallycart/steward/ControlThread.java
@@ -7,7 +7,7 @@
 import org.tallycart.runtime.process.TaskFailureHandler;
 
 /**
- * The one thread on which all of a steward's state is read and changed.
+ * The single thread on which a steward's state is read and changed.
  * <p>
  * Thread-safe.
  *
@@ -21,21 +21,21 @@
 		return thread;
 	});
 
-	private final TaskFailureHandler guard;
+	private final TaskFailureHandler failureHandler;
 
-	ControlThread(TaskFailureHandler guard) {
-		this.guard = guard;
+	ControlThread(TaskFailureHandler failureHandler) {
+		this.failureHandler = failureHandler;
 	}
 
 	@Override
 	public void execute(String name, Runnable task) {
 		if (!this.executor.isShutdown()) {
-			this.executor.execute(this.guard.wrap(name, task));
+			this.executor.execute(this.failureHandler.wrap(name, task));
 		}
 	}
 
-	void every(String name, long intervalMs, Runnable task) {
-		this.executor.scheduleWithFixedDelay(this.guard.wrap(name, task), intervalMs, intervalMs,
+	void scheduleWithFixedDelay(String name, long delayMs, Runnable task) {
+		this.executor.scheduleWithFixedDelay(this.failureHandler.wrap(name, task), delayMs, delayMs,
 				TimeUnit.MILLISECONDS);
 	}
 
--- a/steward/src/main/java/org/tallycart/steward/EntryFeed.java
+++ b/steward/src/main/java/org/tallycart/steward/EntryFeed.java
@@ -17,7 +17,7 @@
 import org.tallycart.wire.message.StateUpdate;
 
 /**
- * Tells this VM's entries the state, and each change of it.
+ * Sends the fleet's state, and each change of it, to this VM's entries.
  * <p>
  * Not thread-safe: confined to the control thread.
  *
@@ -51,25 +51,25 @@
 	}
 
 	private void push(Subscriber subscriber) {
-		StateSummary now = new StateSummary(this.state.manifest().version(), version(RegisterName.SLOTS),
-				version(RegisterName.VMS), this.state.leaving().size(), this.activeVms.getAsInt(),
+		StateSummary current = new StateSummary(this.state.manifest().version(), version(RegisterName.SLOTS),
+				version(RegisterName.VMS), this.state.drainingUpstreams().size(), this.activeVms.getAsInt(),
 				this.ready.getAsBoolean());
-		if (now.equals(subscriber.told)) {
+		if (current.equals(subscriber.lastSent)) {
 			return;
 		}
 		StateUpdate.Builder update = StateUpdate.newBuilder()
-			.setConfigVersion(now.config)
-			.addAllLeaving(this.state.leaving())
-			.setActiveVms(now.activeVms)
-			.setReady(now.ready);
-		if (subscriber.told == null || subscriber.told.slots != now.slots) {
-			update.setSlotsVersion(now.slots).setSlots(text(RegisterName.SLOTS));
+			.setConfigVersion(current.config)
+			.addAllLeaving(this.state.drainingUpstreams())
+			.setActiveVms(current.activeVms)
+			.setReady(current.ready);
+		if (subscriber.lastSent == null || subscriber.lastSent.slots != current.slots) {
+			update.setSlotsVersion(current.slots).setSlots(text(RegisterName.SLOTS));
 		}
-		if (subscriber.told == null || subscriber.told.vms != now.vms) {
-			update.setVmsVersion(now.vms).setVms(text(RegisterName.VMS));
+		if (subscriber.lastSent == null || subscriber.lastSent.vms != current.vms) {
+			update.setVmsVersion(current.vms).setVms(text(RegisterName.VMS));
 		}
 		addParts(update, subscriber);
-		subscriber.told = now;
+		subscriber.lastSent = current;
 		subscriber.peer.send(Envelope.newBuilder().setStateUpdate(update));
 	}
 
@@ -77,11 +77,11 @@
 		this.state.manifest().parts().forEach((name, digest) -> {
 			update.addPartRefs(PartRef.newBuilder().setName(name).setDigest(digest));
 			byte[] blob = this.state.blob(digest);
-			if (blob != null && subscriber.sent.add(digest)) {
+			if (blob != null && subscriber.sentDigests.add(digest)) {
 				update.addParts(Blob.newBuilder().setDigest(digest).setValue(ByteString.copyFrom(blob)));
 			}
 		});
-		subscriber.sent.retainAll(this.state.manifest().parts().values());
+		subscriber.sentDigests.retainAll(this.state.manifest().parts().values());
 	}
 
 	private long version(String register) {
@@ -96,9 +96,9 @@
 
 		private final WirePeer peer;
 
-		private final Set<String> sent = new HashSet<>();
+		private final Set<String> sentDigests = new HashSet<>();
 
-		private @Nullable StateSummary told;
+		private @Nullable StateSummary lastSent;
 
 		private Subscriber(WirePeer peer) {
 			this.peer = peer;
@@ -106,8 +106,8 @@
 
 	}
 
-	/** What an entry was told, in short. */
-	private record StateSummary(long config, long slots, long vms, int leaving, int activeVms, boolean ready) {
+	/** Versions and values that tell whether an update has anything new. */
+	private record StateSummary(long config, long slots, long vms, int drainingCount, int activeVms, boolean ready) {
 	}
 
 }
--- a/steward/src/main/java/org/tallycart/steward/FleetState.java
+++ b/steward/src/main/java/org/tallycart/steward/FleetState.java
@@ -21,12 +21,12 @@
 import org.tallycart.runtime.event.EventLog;
 
 /**
- * What this steward holds of the fleet's state: three registers, the parts of the
- * configuration, and the upstreams known to be leaving.
+ * The steward's replica of the fleet's state: three registers, the parts of the
+ * configuration, and the upstreams known to be draining.
  * <p>
- * Invariants: a register's version never falls; the configuration is taken only with all
- * its parts, each of which has the digest it is named by. Not thread-safe: confined to
- * the control thread.
+ * Invariants: the version of a register never decreases; a configuration is applied only
+ * when all its parts are present, and the content of each part matches its digest. Not
+ * thread-safe: confined to the control thread.
  *
  * @since 0.1
  */
@@ -38,7 +38,7 @@
 
 	private final Map<String, byte[]> blobs = new HashMap<>();
 
-	private final TreeSet<String> leaving = new TreeSet<>();
+	private final TreeSet<String> drainingUpstreams = new TreeSet<>();
 
 	private final List<Runnable> listeners = new ArrayList<>();
 
@@ -63,45 +63,46 @@
 	}
 
 	/**
-	 * Offer a register's value. A configuration whose parts are not all here is kept
-	 * aside until they are.
+	 * Offer a register's value. A configuration with missing parts is kept as pending and
+	 * applied once they are present.
 	 * @param name the register
 	 * @param version the version
 	 * @param value the value
-	 * @param source who it came from, for the events
-	 * @return whether it is news and was taken
+	 * @param source the sender of the value, for the events
+	 * @return true if the value was newer and was applied
 	 */
 	boolean offer(String name, long version, byte[] value, String source) {
 		VersionedRegister register = this.registers.get(name);
 		if (register == null) {
 			return false;
 		}
-		if (version > register.version() && !readable(name, version, value)) {
+		if (version > register.version() && !isApplicable(name, version, value)) {
 			return false;
 		}
-		VersionedRegister.OfferResult acceptance = register.offer(version, value);
+		VersionedRegister.OfferResult result = register.offer(version, value);
 		String detail = name + " version=" + version + " known=" + register.version() + " from=" + source;
-		switch (acceptance) {
-			case APPLIED -> applied(name, version, value, detail);
+		switch (result) {
+			case APPLIED -> onApplied(name, version, value, detail);
 			case REFUSED_OLD -> this.events.emit(EventCode.REGISTER_REFUSED_OLD, detail);
 			case REFUSED_DIFFERENT -> this.events.emit(EventCode.REGISTER_REFUSED_DIFFERENT, detail);
 			default -> {
-				// The value is known already.
+				// The register already holds the value.
 			}
 		}
-		return acceptance == VersionedRegister.OfferResult.APPLIED;
+		return result == VersionedRegister.OfferResult.APPLIED;
 	}
 
-	private boolean readable(String name, long version, byte[] value) {
+	private boolean isApplicable(String name, long version, byte[] value) {
 		if (!name.equals(RegisterName.CONFIG)) {
 			return true;
 		}
 		Either<String, Manifest> decoded = Manifest.decode(text(value));
 		if (decoded.isLeft() || decoded.get().version() != version) {
-			this.events.emit(EventCode.PART_MISSING, "manifest version=" + version + " is not readable");
+			this.events.emit(EventCode.PART_MISSING,
+					"manifest version=" + version + " cannot be decoded or states another version");
 			return false;
 		}
-		List<String> missing = missing(decoded.get());
+		List<String> missing = missingParts(decoded.get());
 		if (missing.isEmpty()) {
 			return true;
 		}
@@ -111,22 +112,28 @@
 		return false;
 	}
 
-	private List<String> missing(Manifest wanted) {
-		return wanted.parts().values().stream().filter((digest) -> !this.blobs.containsKey(digest)).distinct().toList();
+	private List<String> missingParts(Manifest required) {
+		return required.parts()
+			.values()
+			.stream()
+			.filter((digest) -> !this.blobs.containsKey(digest))
+			.distinct()
+			.toList();
 	}
 
-	private void applied(String name, long version, byte[] value, String detail) {
+	private void onApplied(String name, long version, byte[] value, String detail) {
 		this.events.emit(EventCode.REGISTER_APPLIED, detail);
 		switch (name) {
-			case RegisterName.CONFIG -> adoptManifest(Manifest.decode(text(value)).get());
+			case RegisterName.CONFIG -> applyManifest(Manifest.decode(text(value)).get());
 			case RegisterName.SLOTS -> SlotMap.decode(text(value)).peek((map) -> this.slots = map);
 			default -> VmList.decode(version, text(value)).peek((list) -> this.vms = list);
 		}
 		this.listeners.forEach(Runnable::run);
 	}
 
-	private void adoptManifest(Manifest next) {
-		InvariantViolation.check(next.version() > this.manifest.version(), "the configuration's version fell");
+	private void applyManifest(Manifest next) {
+		InvariantViolation.check(next.version() > this.manifest.version(),
+				"the configuration's version did not increase");
 		this.manifest = next;
 		if (this.pending != null && this.pending.manifest.version() <= next.version()) {
 			this.pending = null;
@@ -139,59 +146,59 @@
 	}
 
 	/**
-	 * Return the parts that a configuration kept aside still lacks.
-	 * @return their digests
+	 * Return the missing parts of the pending configuration.
+	 * @return the digests of the parts; empty if no configuration is pending
 	 */
 	List<String> missingBlobs() {
-		return (this.pending != null) ? missing(this.pending.manifest) : List.of();
+		return (this.pending != null) ? missingParts(this.pending.manifest) : List.of();
 	}
 
 	/**
-	 * Take a part, if its content has its digest, and the configuration that waited for
-	 * it.
+	 * Store a part if its content matches the digest, and apply the pending configuration
+	 * if this was its last missing part.
 	 * @param digest the digest
 	 * @param value the content
-	 * @param source who it came from
+	 * @param source the sender of the part, for the events
 	 */
 	void offerBlob(String digest, byte[] value, String source) {
 		if (!Digest.of(value).equals(digest)) {
-			this.events.emit(EventCode.PART_MISSING, "a part from " + source + " has not the digest " + digest);
+			this.events.emit(EventCode.PART_MISSING, "a part from " + source + " does not match the digest " + digest);
 			return;
 		}
 		this.blobs.put(digest, value);
-		PendingConfig waiting = this.pending;
-		if (waiting != null && missing(waiting.manifest).isEmpty()) {
+		PendingConfig completed = this.pending;
+		if (completed != null && missingParts(completed.manifest).isEmpty()) {
 			this.pending = null;
-			offer(RegisterName.CONFIG, waiting.manifest.version(), waiting.value, source);
+			offer(RegisterName.CONFIG, completed.manifest.version(), completed.value, source);
 		}
 	}
 
 	/**
-	 * Take news of upstreams that are leaving.
-	 * @param upstreams the upstreams
-	 * @return whether any of them is news
+	 * Add upstreams that are draining.
+	 * @param upstreams the ids of the upstreams
+	 * @return true if any of them was not known to be draining
 	 */
-	boolean offerLeaving(Collection<String> upstreams) {
-		boolean news = false;
+	boolean offerDraining(Collection<String> upstreams) {
+		boolean changed = false;
 		for (String upstream : upstreams) {
-			if (this.leaving.add(upstream)) {
+			if (this.drainingUpstreams.add(upstream)) {
 				this.events.emit(EventCode.LEAVING_HEARD, upstream);
-				news = true;
+				changed = true;
 			}
 		}
-		if (news) {
+		if (changed) {
 			this.listeners.forEach(Runnable::run);
 		}
-		return news;
+		return changed;
 	}
 
-	TreeSet<String> leaving() {
-		return this.leaving;
+	TreeSet<String> drainingUpstreams() {
+		return this.drainingUpstreams;
 	}
 
-	long leavingDigest() {
+	long drainingDigest() {
 		long digest = 0;
-		for (String upstream : this.leaving) {
+		for (String upstream : this.drainingUpstreams) {
 			digest = digest * 1_000_003 + upstream.hashCode();
 		}
 		return digest;
@@ -202,7 +209,7 @@
 	}
 
 	VersionedRegister register(String name) {
-		return InvariantViolation.requirePresent(this.registers.get(name), "no register " + name);
+		return InvariantViolation.requirePresent(this.registers.get(name), "unknown register " + name);
 	}
 
 	byte @Nullable [] blob(String digest) {
--- a/steward/src/main/java/org/tallycart/steward/Gossip.java
+++ b/steward/src/main/java/org/tallycart/steward/Gossip.java
@@ -25,17 +25,18 @@
 import org.tallycart.wire.message.RegisterVersion;
 
 /**
- * Keeps stewards in step: heartbeats to a few random peers, each of which tells versions,
- * and a pull of whatever a peer has newer. News is passed on at once, in the same way.
+ * Gossip protocol that replicates the fleet's state among stewards. Heartbeats to a few
+ * random peers carry the versions of the registers; a steward pulls those that a peer has
+ * newer. An applied update starts a further round at once.
  * <p>
- * Cost per VM does not grow with the fleet: a heartbeat has a bounded size and goes to a
- * fixed number of peers. Not thread-safe: confined to the control thread.
+ * The cost per VM and round does not grow with the fleet: a heartbeat has a bounded size
+ * and goes to a fixed number of peers. Not thread-safe: confined to the control thread.
  *
  * @since 0.1
  */
 final class Gossip {
 
-	private static final int BRIEFS = 8;
+	private static final int MAX_PEER_BRIEFS = 8;
 
 	private static final long CALL_TIMEOUT_MS = 1_000;
 
@@ -55,11 +56,11 @@
 
 	private boolean draining;
 
-	private long heardMs = Long.MIN_VALUE;
+	private long lastHeardMs = Long.MIN_VALUE;
 
 	private int rounds;
 
-	private int answersPending;
+	private int pendingReplies;
 
 	Gossip(FleetState state, PeerDirectory peers, SerialExecutor control, LongSupplier monotonicMs, Random random,
 			int fanout) {
@@ -71,85 +72,86 @@
 		this.fanout = fanout;
 	}
 
-	void draining(boolean drains) {
-		this.draining = drains;
+	void setDraining(boolean draining) {
+		this.draining = draining;
 	}
 
 	/**
-	 * Send heartbeats to a few random peers.
+	 * Send heartbeats to as many random peers as the fanout says.
 	 */
 	void round() {
 		this.rounds++;
-		this.peers.prune();
-		List<Address> targets = new ArrayList<>(this.peers.targets());
+		this.peers.removeUnlisted();
+		List<Address> targets = new ArrayList<>(this.peers.heartbeatTargets());
 		Collections.shuffle(targets, this.random);
 		for (Address target : targets.subList(0, Math.min(this.fanout, targets.size()))) {
-			beat(this.peers.client(target));
+			sendHeartbeat(this.peers.client(target));
 		}
 	}
 
-	private void beat(WireCaller client) {
-		this.answersPending++;
+	private void sendHeartbeat(WireCaller client) {
+		this.pendingReplies++;
 		client.call(Envelope.newBuilder().setHeartbeat(heartbeat()), CALL_TIMEOUT_MS)
 			.thenAccept((reply) -> this.control.execute("heartbeat", () -> {
-				this.answersPending--;
+				this.pendingReplies--;
 				reply.peek((message) -> {
-					hear(message);
-					compare(message.getHeartbeat(), client);
+					updatePeers(message);
+					compareState(message.getHeartbeat(), client);
 				});
 			}));
 	}
 
 	private Heartbeat heartbeat() {
-		Heartbeat.Builder beat = Heartbeat.newBuilder()
+		Heartbeat.Builder heartbeat = Heartbeat.newBuilder()
 			.setDraining(this.draining)
-			.setLeavingDigest(this.state.leavingDigest());
+			.setLeavingDigest(this.state.drainingDigest());
 		for (VersionedRegister register : this.state.registers()) {
-			beat.addRegisters(version(register));
+			heartbeat.addRegisters(version(register));
 		}
 		long nowMs = this.monotonicMs.getAsLong();
-		List<String> known = this.peers.table().active(nowMs, Integer.MAX_VALUE);
-		for (String vm : PeerTable.sample(known, BRIEFS, this.random::nextInt)) {
+		List<String> active = this.peers.table().active(nowMs, Integer.MAX_VALUE);
+		for (String vm : PeerTable.sample(active, MAX_PEER_BRIEFS, this.random::nextInt)) {
 			Peer peer = this.peers.table().peer(vm);
 			if (peer != null) {
-				beat.addPeers(PeerBrief.newBuilder()
+				heartbeat.addPeers(PeerBrief.newBuilder()
 					.setVm(vm)
 					.setIncarnation(peer.incarnation())
 					.setDraining(peer.draining())
 					.setAgeMs((int) Math.min(nowMs - peer.lastHeardMs(), Integer.MAX_VALUE)));
 			}
 		}
-		return beat.build();
+		return heartbeat.build();
 	}
 
 	private static RegisterVersion version(VersionedRegister register) {
 		return RegisterVersion.newBuilder().setName(register.name()).setVersion(register.version()).build();
 	}
 
-	private void hear(Envelope message) {
+	private void updatePeers(Envelope message) {
 		long nowMs = this.monotonicMs.getAsLong();
-		this.heardMs = nowMs;
-		Heartbeat beat = message.getHeartbeat();
-		this.peers.hear(new Peer(message.getSenderVm(), message.getSenderIncarnation(), beat.getDraining(), nowMs));
-		for (PeerBrief brief : beat.getPeersList()) {
-			this.peers.hear(new Peer(brief.getVm(), brief.getIncarnation(), brief.getDraining(),
+		this.lastHeardMs = nowMs;
+		Heartbeat heartbeat = message.getHeartbeat();
+		this.peers
+			.update(new Peer(message.getSenderVm(), message.getSenderIncarnation(), heartbeat.getDraining(), nowMs));
+		for (PeerBrief brief : heartbeat.getPeersList()) {
+			this.peers.update(new Peer(brief.getVm(), brief.getIncarnation(), brief.getDraining(),
 					nowMs - Integer.toUnsignedLong(brief.getAgeMs())));
 		}
 	}
 
 	/**
-	 * Answer a heartbeat.
-	 * @param message the heartbeat
-	 * @return the answer
+	 * Handle a heartbeat request.
+	 * @param message the heartbeat request
+	 * @return the heartbeat reply
 	 */
 	Envelope.Builder onHeartbeat(Envelope message) {
-		hear(message);
-		this.peers.client(message.getSenderVm()).ifPresent((client) -> compare(message.getHeartbeat(), client));
+		updatePeers(message);
+		this.peers.client(message.getSenderVm()).ifPresent((client) -> compareState(message.getHeartbeat(), client));
 		return Envelope.newBuilder().setHeartbeat(heartbeat());
 	}
 
-	private void compare(Heartbeat beat, WireCaller client) {
-		boolean behind = beat.getRegistersList()
+	private void compareState(Heartbeat heartbeat, WireCaller client) {
+		boolean behind = heartbeat.getRegistersList()
 			.stream()
 			.anyMatch((remote) -> this.state.registers()
 				.stream()
@@ -157,9 +159,9 @@
 		if (behind) {
 			pull(client);
 		}
-		if (beat.getLeavingDigest() != this.state.leavingDigest()) {
+		if (heartbeat.getLeavingDigest() != this.state.drainingDigest()) {
 			client.send(Envelope.newBuilder()
-				.setLeavingNotice(LeavingNotice.newBuilder().addAllUpstreams(this.state.leaving())));
+				.setLeavingNotice(LeavingNotice.newBuilder().addAllUpstreams(this.state.drainingUpstreams())));
 		}
 	}
 
@@ -167,43 +169,43 @@
 		PullRequest.Builder request = PullRequest.newBuilder();
 		this.state.registers().forEach((register) -> request.addHave(version(register)));
 		client.call(Envelope.newBuilder().setPullRequest(request), PULL_TIMEOUT_MS)
-			.thenAccept((reply) -> this.control.execute("pull",
-					() -> reply.peek((message) -> take(message.getPullReply(), client, message.getSenderVm()))));
+			.thenAccept((reply) -> this.control.execute("pull", () -> reply
+				.peek((message) -> applyPullReply(message.getPullReply(), client, message.getSenderVm()))));
 	}
 
-	private void take(PullReply reply, WireCaller client, String source) {
-		boolean news = false;
+	private void applyPullReply(PullReply reply, WireCaller client, String source) {
+		boolean changed = false;
 		for (RegisterValue value : reply.getValuesList()) {
-			news |= this.state.offer(value.getName(), value.getVersion(), value.getValue().toByteArray(), source);
+			changed |= this.state.offer(value.getName(), value.getVersion(), value.getValue().toByteArray(), source);
 		}
 		List<String> missing = this.state.missingBlobs();
 		if (!missing.isEmpty()) {
 			client
 				.call(Envelope.newBuilder().setBlobRequest(BlobRequest.newBuilder().addAllDigests(missing)),
 						PULL_TIMEOUT_MS)
-				.thenAccept((answer) -> this.control.execute("parts",
-						() -> answer.peek((message) -> takeBlobs(message.getBlobReply(), source))));
+				.thenAccept((blobReply) -> this.control.execute("parts",
+						() -> blobReply.peek((message) -> applyBlobReply(message.getBlobReply(), source))));
 		}
-		if (news) {
+		if (changed) {
 			round();
 		}
 	}
 
-	private void takeBlobs(BlobReply reply, String source) {
-		long before = this.state.manifest().version();
+	private void applyBlobReply(BlobReply reply, String source) {
+		long previousVersion = this.state.manifest().version();
 		for (Blob blob : reply.getBlobsList()) {
 			this.state.offerBlob(blob.getDigest(), blob.getValue().toByteArray(), source);
 		}
-		if (this.state.manifest().version() > before) {
+		if (this.state.manifest().version() > previousVersion) {
 			round();
 		}
 	}
 
-	PullReply onPull(PullRequest request) {
+	PullReply onPullRequest(PullRequest request) {
 		PullReply.Builder reply = PullReply.newBuilder();
-		for (RegisterVersion have : request.getHaveList()) {
-			VersionedRegister own = this.state.register(have.getName());
-			if (own.version() > have.getVersion()) {
+		for (RegisterVersion held : request.getHaveList()) {
+			VersionedRegister own = this.state.register(held.getName());
+			if (own.version() > held.getVersion()) {
 				reply.addValues(RegisterValue.newBuilder()
 					.setName(own.name())
 					.setVersion(own.version())
@@ -224,26 +226,26 @@
 		return reply.build();
 	}
 
-	void onLeaving(LeavingNotice notice) {
-		if (this.state.offerLeaving(notice.getUpstreamsList())) {
+	void onLeavingNotice(LeavingNotice notice) {
+		if (this.state.offerDraining(notice.getUpstreamsList())) {
 			round();
 		}
 	}
 
 	/**
-	 * Return when a peer was last heard.
-	 * @return by the monotonic clock; {@link Long#MIN_VALUE} if never
+	 * Return the time of the latest heartbeat from a peer.
+	 * @return the time by the monotonic clock; {@link Long#MIN_VALUE} if there was none
 	 */
-	long heardMs() {
-		return this.heardMs;
+	long lastHeardMs() {
+		return this.lastHeardMs;
 	}
 
 	/**
-	 * Return whether every peer that was asked has answered or has been given up.
-	 * @return true once a round is over
+	 * Return whether every heartbeat request was replied to or timed out.
+	 * @return true if so; false before the first round
 	 */
-	boolean settled() {
-		return this.rounds > 0 && this.answersPending == 0;
+	boolean isRoundComplete() {
+		return this.rounds > 0 && this.pendingReplies == 0;
 	}
 
 }
--- a/steward/src/main/java/org/tallycart/steward/GossipSimulation.java
+++ b/steward/src/main/java/org/tallycart/steward/GossipSimulation.java
@@ -32,10 +32,10 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * Measures how stewards spread state: many of them in one process, with the production
- * code for membership, registers and gossip, and a network of queues in virtual time.
- * Messages are really encoded, so their bytes and processor time are those of production
- * but for the kernel's.
+ * Simulates the propagation of a change through many stewards in one process. Membership,
+ * registers and gossip are the production code; the network is a queue of tasks in
+ * virtual time. Messages are encoded and decoded, so sizes and processor time match
+ * production, except for the time spent in the kernel.
  * <p>
  * Not thread-safe.
  *
@@ -49,21 +49,22 @@
 
 	private static final int FANOUT = 3;
 
-	private static final long LATENCY_MS = 2;
+	private static final long MAX_LATENCY_MS = 2;
 
-	private static final long SETTLE_MS = 15_000;
+	private static final long WARM_UP_MS = 15_000;
 
-	private static final long IDLE_MS = 10_000;
+	private static final long IDLE_SAMPLE_MS = 10_000;
 
-	private static final long CHANGE_MS = 11_000;
+	private static final long CHANGE_SAMPLE_MS = 11_000;
 
-	private static final int HEADER_BYTES = 44;
+	/** Overhead of TCP, IP and framing for each message. */
+	private static final int OVERHEAD_BYTES = 44;
 
 	private static final int PORTS_PER_HOST = 1_000;
 
 	private final Random random;
 
-	private final List<SimulatedSteward> members = new ArrayList<>();
+	private final List<SimulatedSteward> stewards = new ArrayList<>();
 
 	private final Map<Address, SimulatedSteward> byAddress = new HashMap<>();
 
@@ -83,63 +84,63 @@
 	}
 
 	/**
-	 * Measure a fleet of a size.
-	 * @param size how many stewards
-	 * @param workspaces how many workspaces the configuration declares
-	 * @param lossPercent messages lost
-	 * @return what was measured
+	 * Simulate a fleet and measure the propagation of one change of the configuration.
+	 * @param size the number of stewards, which is also the seed of the random numbers
+	 * @param workspaces the number of workspaces that the configuration declares
+	 * @param lossPercent the share of messages lost, in percent
+	 * @return the measurements
 	 */
 	public static Result measure(int size, int workspaces, int lossPercent) {
 		return new GossipSimulation(size).run(size, workspaces, lossPercent);
 	}
 
 	private Result run(int size, int workspaces, int lossPercent) {
-		VmList list = list(size);
-		for (Vm vm : list.vms()) {
-			SimulatedSteward member = new SimulatedSteward(vm, lossPercent);
-			this.members.add(member);
-			this.byAddress.put(vm.address(), member);
+		VmList vmList = createVmList(size);
+		for (Vm vm : vmList.vms()) {
+			SimulatedSteward steward = new SimulatedSteward(vm, lossPercent);
+			this.stewards.add(steward);
+			this.byAddress.put(vm.address(), steward);
 		}
-		byte[] listBytes = list.encode().getBytes(StandardCharsets.UTF_8);
+		byte[] listBytes = vmList.encode().getBytes(StandardCharsets.UTF_8);
 		Config first = Config.of(Manifest.EMPTY, workspaces, 0);
-		for (SimulatedSteward member : this.members) {
-			member.state.offer(RegisterName.VMS, 1, listBytes, "start");
-			first.offerTo(member.state);
-			schedule(this.random.nextInt((int) HEARTBEAT_MS), member::beat);
+		for (SimulatedSteward steward : this.stewards) {
+			steward.state.offer(RegisterName.VMS, 1, listBytes, "start");
+			first.offerTo(steward.state);
+			schedule(this.random.nextInt((int) HEARTBEAT_MS), steward::runHeartbeats);
 		}
-		runUntil(SETTLE_MS);
-		TrafficSample idle = phase(IDLE_MS);
+		runUntil(WARM_UP_MS);
+		TrafficSample idle = sampleTraffic(IDLE_SAMPLE_MS);
 		Config second = Config.of(first.manifest, workspaces, 1);
 		long changedMs = this.nowMs;
-		for (SimulatedSteward member : this.members) {
-			if (WatcherSelection.isWatcher(member.vm.id(), member.vm.domain(), list)) {
-				schedule(this.random.nextInt((int) LATENCY_MS + 1), () -> {
-					second.offerTo(member.state);
-					member.gossip.round();
+		for (SimulatedSteward steward : this.stewards) {
+			if (WatcherSelection.isWatcher(steward.vm.id(), steward.vm.domain(), vmList)) {
+				schedule(this.random.nextInt((int) MAX_LATENCY_MS + 1), () -> {
+					second.offerTo(steward.state);
+					steward.gossip.round();
 				});
 			}
 		}
-		long untilMs = this.nowMs + CHANGE_MS;
+		long untilMs = this.nowMs + CHANGE_SAMPLE_MS;
 		long messagesBefore = this.messages;
 		long bytesBefore = this.bytes;
-		while (this.nowMs < untilMs && behind(2) > 0) {
-			runUntil(this.nowMs + LATENCY_MS);
+		while (this.nowMs < untilMs && countBehind(2) > 0) {
+			runUntil(this.nowMs + MAX_LATENCY_MS);
 		}
-		long propagationMs = (behind(2) == 0) ? this.nowMs - changedMs : -1;
+		long propagationMs = (countBehind(2) == 0) ? this.nowMs - changedMs : -1;
 		runUntil(untilMs);
-		double idleBytes = idle.bytes * (double) CHANGE_MS / IDLE_MS;
-		double idleMessages = idle.messages * (double) CHANGE_MS / IDLE_MS;
-		return new Result(size, workspaces, propagationMs, perVmSecond(idle.messages, IDLE_MS),
-				perVmSecond(idle.bytes, IDLE_MS), 100.0 * idle.cpuNs / 1_000_000 / IDLE_MS / size,
+		double idleBytes = idle.bytes * (double) CHANGE_SAMPLE_MS / IDLE_SAMPLE_MS;
+		double idleMessages = idle.messages * (double) CHANGE_SAMPLE_MS / IDLE_SAMPLE_MS;
+		return new Result(size, workspaces, propagationMs, perStewardSecond(idle.messages, IDLE_SAMPLE_MS),
+				perStewardSecond(idle.bytes, IDLE_SAMPLE_MS), 100.0 * idle.cpuNs / 1_000_000 / IDLE_SAMPLE_MS / size,
 				(this.messages - messagesBefore - idleMessages) / size, (this.bytes - bytesBefore - idleBytes) / size,
 				listBytes.length, first.bytes());
 	}
 
-	private double perVmSecond(long count, long millis) {
-		return count * 1_000.0 / millis / this.members.size();
+	private double perStewardSecond(long count, long millis) {
+		return count * 1_000.0 / millis / this.stewards.size();
 	}
 
-	private TrafficSample phase(long millis) {
+	private TrafficSample sampleTraffic(long millis) {
 		long messagesBefore = this.messages;
 		long bytesBefore = this.bytes;
 		long cpuBefore = cpuNs();
@@ -151,11 +152,11 @@
 		return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
 	}
 
-	private long behind(long version) {
-		return this.members.stream().filter((member) -> member.state.manifest().version() < version).count();
+	private long countBehind(long version) {
+		return this.stewards.stream().filter((steward) -> steward.state.manifest().version() < version).count();
 	}
 
-	private static VmList list(int size) {
+	private static VmList createVmList(int size) {
 		List<Vm> vms = new ArrayList<>();
 		for (int i = 0; i < size; i++) {
 			Address address = new Address("10.0." + i / PORTS_PER_HOST + ".1", 10_000 + i % PORTS_PER_HOST);
@@ -177,36 +178,37 @@
 		this.nowMs = untilMs;
 	}
 
-	private Envelope carry(Envelope message) {
+	private Envelope transmit(Envelope message) {
 		this.messages++;
 		byte[] encoded = message.toByteArray();
-		this.bytes += encoded.length + HEADER_BYTES;
+		this.bytes += encoded.length + OVERHEAD_BYTES;
 		try {
 			return Envelope.parseFrom(encoded);
 		}
 		catch (InvalidProtocolBufferException ex) {
-			throw new IllegalStateException("a message that was just encoded can be read", ex);
+			throw new IllegalStateException("cannot decode a message that was just encoded", ex);
 		}
 	}
 
 	private long latencyMs() {
-		return 1 + this.random.nextInt((int) LATENCY_MS);
+		return 1 + this.random.nextInt((int) MAX_LATENCY_MS);
 	}
 
 	/**
-	 * What was measured.
+	 * Measurements of one simulation.
 	 *
-	 * @param size how many stewards
-	 * @param workspaces how many workspaces were declared
-	 * @param propagationMs time until a change was in force in every steward; -1 if it
-	 * was not
-	 * @param messagesPerSecond messages a second for each steward, while nothing changes
-	 * @param bytesPerSecond their bytes, with 44 of TCP, IP and framing for each
-	 * @param cpuPercent processor time for each steward, in percent of a core
-	 * @param messagesPerChange messages for each steward that a change adds
-	 * @param bytesPerChange their bytes
-	 * @param listBytes size of the list of VMs
-	 * @param configBytes size of the configuration
+	 * @param size the number of stewards
+	 * @param workspaces the number of declared workspaces
+	 * @param propagationMs time until the change was active in every steward, in
+	 * milliseconds; -1 if it was not
+	 * @param messagesPerSecond messages per second and steward, without changes
+	 * @param bytesPerSecond bytes per second and steward, without changes, with the
+	 * overhead of TCP, IP and framing
+	 * @param cpuPercent processor time per steward, in percent of a core
+	 * @param messagesPerChange additional messages per steward for one change
+	 * @param bytesPerChange additional bytes per steward for one change
+	 * @param listBytes size of the encoded list of VMs
+	 * @param configBytes size of the configuration's parts, in bytes
 	 */
 	public record Result(int size, int workspaces, long propagationMs, double messagesPerSecond, double bytesPerSecond,
 			double cpuPercent, double messagesPerChange, double bytesPerChange, int listBytes, int configBytes) {
@@ -218,10 +220,10 @@
 	private record ScheduledTask(long atMs, long order, Runnable action) {
 	}
 
-	/** A configuration with its parts. */
+	/** A manifest with the contents of its parts, by digest. */
 	private record Config(Manifest manifest, Map<String, byte[]> parts) {
 
-		static Config of(Manifest before, int workspaces, int change) {
+		static Config of(Manifest previous, int workspaces, int change) {
 			Map<String, StringBuilder> texts = new TreeMap<>();
 			for (int i = 0; i < workspaces; i++) {
 				String name = "workspace shop-" + i;
@@ -236,7 +238,7 @@
 				digests.put(name, Digest.of(bytes));
 				parts.put(Digest.of(bytes), bytes);
 			});
-			Manifest next = before.next(digests, "change-" + change, "ana", "digest", List.of("workspace shop-0"));
+			Manifest next = previous.next(digests, "change-" + change, "ana", "digest", List.of("workspace shop-0"));
 			return new Config(next, parts);
 		}
 
@@ -254,7 +256,7 @@
 
 	}
 
-	/** One steward. */
+	/** A steward of the simulated fleet. */
 	private final class SimulatedSteward {
 
 		private final Vm vm;
@@ -276,27 +278,28 @@
 					new Random(vm.id().hashCode()), FANOUT);
 		}
 
-		void beat() {
+		void runHeartbeats() {
 			this.gossip.round();
-			schedule(HEARTBEAT_MS, this::beat);
+			schedule(HEARTBEAT_MS, this::runHeartbeats);
 		}
 
-		boolean loses() {
+		boolean losesMessage() {
 			return GossipSimulation.this.random.nextInt(100) < this.lossPercent;
 		}
 
-		Envelope stamped(Envelope.Builder message) {
+		Envelope withHeader(Envelope.Builder message) {
 			return message.setClock(1).setCorrelation(1).setSenderVm(this.vm.id()).setSenderIncarnation(1).build();
 		}
 
 		Envelope.Builder handle(Envelope message) {
 			return switch (message.getBodyCase()) {
 				case HEARTBEAT -> this.gossip.onHeartbeat(message);
-				case PULL_REQUEST -> Envelope.newBuilder().setPullReply(this.gossip.onPull(message.getPullRequest()));
+				case PULL_REQUEST ->
+					Envelope.newBuilder().setPullReply(this.gossip.onPullRequest(message.getPullRequest()));
 				case BLOB_REQUEST ->
 					Envelope.newBuilder().setBlobReply(this.gossip.onBlobRequest(message.getBlobRequest()));
 				case LEAVING_NOTICE -> {
-					this.gossip.onLeaving(message.getLeavingNotice());
+					this.gossip.onLeavingNotice(message.getLeavingNotice());
 					yield Envelope.newBuilder();
 				}
 				default -> Envelope.newBuilder().setAck(Ack.getDefaultInstance());
@@ -305,7 +308,7 @@
 
 	}
 
-	/** A connection from one steward to another. */
+	/** A simulated connection from one steward to another. */
 	private final class SimulatedConnection implements WireCaller {
 
 		private final SimulatedSteward from;
@@ -321,14 +324,14 @@
 		public CompletableFuture<Either<WireError, Envelope>> call(Envelope.Builder message, long timeoutMs) {
 			CompletableFuture<Either<WireError, Envelope>> reply = new CompletableFuture<>();
 			SimulatedSteward target = GossipSimulation.this.byAddress.get(this.to);
-			Envelope carried = carry(this.from.stamped(message));
-			if (target == null || this.from.loses()) {
+			Envelope received = transmit(this.from.withHeader(message));
+			if (target == null || this.from.losesMessage()) {
 				schedule(timeoutMs, () -> reply.complete(Either.left(WireError.TIMED_OUT)));
 				return reply;
 			}
 			schedule(latencyMs(), () -> {
-				Envelope answer = carry(target.stamped(target.handle(carried)));
-				schedule(latencyMs(), () -> reply.complete(Either.right(answer)));
+				Envelope response = transmit(target.withHeader(target.handle(received)));
+				schedule(latencyMs(), () -> reply.complete(Either.right(response)));
 			});
 			return reply;
 		}
@@ -336,15 +339,15 @@
 		@Override
 		public void send(Envelope.Builder message) {
 			SimulatedSteward target = GossipSimulation.this.byAddress.get(this.to);
-			Envelope carried = carry(this.from.stamped(message));
-			if (target != null && !this.from.loses()) {
-				schedule(latencyMs(), () -> target.handle(carried));
+			Envelope received = transmit(this.from.withHeader(message));
+			if (target != null && !this.from.losesMessage()) {
+				schedule(latencyMs(), () -> target.handle(received));
 			}
 		}
 
 		@Override
 		public void close() {
-			// Nothing is held open.
+			// Holds no resources.
 		}
 
 	}
--- a/steward/src/main/java/org/tallycart/steward/PeerDirectory.java
+++ b/steward/src/main/java/org/tallycart/steward/PeerDirectory.java
@@ -19,7 +19,8 @@
 import org.tallycart.wire.WireCaller;
 
 /**
- * The other stewards: where they are, what was heard of them, and connections to them.
+ * Directory of the other stewards: their addresses, the latest known state of each, and
+ * the connections to them.
  * <p>
  * Not thread-safe: confined to the control thread.
  *
@@ -27,9 +28,11 @@
  */
 final class PeerDirectory {
 
-	private static final long ACTIVE_BASE_MS = 5_000;
+	/** Fixed part of the time without contact after which a VM is no longer active. */
+	private static final long ACTIVE_WINDOW_BASE_MS = 5_000;
 
-	private static final long ACTIVE_PER_VM_MS = 20;
+	/** Addition to that time for each live VM, as gossip takes longer in a larger fleet. */
+	private static final long ACTIVE_WINDOW_PER_VM_MS = 20;
 
 	private final String self;
 
@@ -55,32 +58,32 @@
 	}
 
 	/**
-	 * Record news of a peer.
-	 * @param news the news
+	 * Update the state of a peer. An update of this VM itself is ignored.
+	 * @param observed the peer's state
 	 */
-	void hear(Peer news) {
-		if (news.vm().equals(this.self)) {
+	void update(Peer observed) {
+		if (observed.vm().equals(this.self)) {
 			return;
 		}
-		Peer known = this.table.peer(news.vm());
-		if (known != null && news.incarnation() > known.incarnation()) {
-			this.events.emit(EventCode.PEER_RESTARTED, news.vm() + " incarnation=" + news.incarnation());
+		Peer previous = this.table.peer(observed.vm());
+		if (previous != null && observed.incarnation() > previous.incarnation()) {
+			this.events.emit(EventCode.PEER_RESTARTED, observed.vm() + " incarnation=" + observed.incarnation());
 		}
-		this.table.update(news);
+		this.table.update(observed);
 	}
 
 	/**
-	 * Return the entry VMs that can own slots and homes now, this one left out.
-	 * @param nowMs the monotonic clock now
-	 * @return their ids
+	 * Return the other entry VMs that can own slots and allocate shares.
+	 * @param nowMs the current time of the monotonic clock
+	 * @return the ids of the VMs that are listed as live and were heard from recently
 	 */
-	List<String> active(long nowMs) {
-		Set<String> live = liveIds();
-		long within = ACTIVE_BASE_MS + ACTIVE_PER_VM_MS * live.size();
-		return this.table.active(nowMs, within).stream().filter(live::contains).toList();
+	List<String> activeVms(long nowMs) {
+		Set<String> live = liveEntryIds();
+		long windowMs = ACTIVE_WINDOW_BASE_MS + ACTIVE_WINDOW_PER_VM_MS * live.size();
+		return this.table.active(nowMs, windowMs).stream().filter(live::contains).toList();
 	}
 
-	private Set<String> liveIds() {
+	private Set<String> liveEntryIds() {
 		return this.state.vms()
 			.withRole(Vm.ROLE_ENTRY)
 			.stream()
@@ -90,11 +93,10 @@
 	}
 
 	/**
-	 * Return where heartbeats may go: the listed VMs, or the seeds while no list is
-	 * known.
-	 * @return the addresses
+	 * Return the addresses that heartbeats can be sent to.
+	 * @return the addresses of the other listed entry VMs, or the seeds if there are none
 	 */
-	List<Address> targets() {
+	List<Address> heartbeatTargets() {
 		List<Address> targets = new ArrayList<>();
 		for (Vm vm : this.state.vms().withRole(Vm.ROLE_ENTRY)) {
 			if (!vm.id().equals(this.self)) {
@@ -106,7 +108,7 @@
 
 	/**
 	 * Return a connection to a VM's steward.
-	 * @param vm the VM
+	 * @param vm the VM's id
 	 * @return the connection, or empty if the VM is not listed
 	 */
 	Optional<WireCaller> client(String vm) {
@@ -118,22 +120,22 @@
 	}
 
 	/**
-	 * Forget VMs that are no longer listed.
+	 * Remove VMs that are no longer listed, and close the connections to them.
 	 */
-	void prune() {
+	void removeUnlisted() {
 		Set<String> listed = this.state.vms().vms().stream().map(Vm::id).collect(Collectors.toSet());
 		if (listed.isEmpty()) {
 			return;
 		}
 		this.table.retain(listed);
-		Set<Address> wanted = this.state.vms().vms().stream().map(Vm::address).collect(Collectors.toSet());
-		wanted.addAll(this.seeds);
+		Set<Address> retained = this.state.vms().vms().stream().map(Vm::address).collect(Collectors.toSet());
+		retained.addAll(this.seeds);
 		this.clients.entrySet().removeIf((entry) -> {
-			boolean gone = !wanted.contains(entry.getKey());
-			if (gone) {
+			boolean unlisted = !retained.contains(entry.getKey());
+			if (unlisted) {
 				entry.getValue().close();
 			}
-			return gone;
+			return unlisted;
 		});
 	}
 
--- a/steward/src/main/java/org/tallycart/steward/PlatformReplicator.java
+++ b/steward/src/main/java/org/tallycart/steward/PlatformReplicator.java
@@ -22,15 +22,16 @@
 /**
  * Reads the registers from the platform's service and offers them to the fleet state.
  * <p>
- * A watcher watches the configuration and polls the rest; any other VM reads now and
- * then, as a second way beside its peers. Calls block, so they run on threads of their
- * own; results come back on the control thread. Not thread-safe but for what says so.
+ * A watcher watches the configuration and polls the other registers; any other VM polls
+ * at a longer interval, as a fallback for gossip. Calls block, so they run on a separate
+ * thread pool; their results are handled on the control thread. Not thread-safe: confined
+ * to the control thread.
  *
  * @since 0.1
  */
 final class PlatformReplicator implements AutoCloseable {
 
-	private static final int THREADS = 4;
+	private static final int THREAD_COUNT = 4;
 
 	private final ObjectStore store;
 
@@ -42,41 +43,41 @@
 
 	private final StewardSettings settings;
 
-	private final TaskFailureHandler guard;
+	private final TaskFailureHandler failureHandler;
 
-	private final Runnable onNews;
+	private final Runnable onUpdate;
 
 	private final AtomicBoolean watching = new AtomicBoolean();
 
-	private final ExecutorService threads = Executors.newFixedThreadPool(THREADS, (task) -> {
+	private final ExecutorService threads = Executors.newFixedThreadPool(THREAD_COUNT, (task) -> {
 		Thread thread = new Thread(task, "platform");
 		thread.setDaemon(true);
 		return thread;
 	});
 
-	private long answeredMs = Long.MIN_VALUE;
+	private long lastReplyMs = Long.MIN_VALUE;
 
 	private long nextReadMs = Long.MIN_VALUE;
 
 	private boolean failing;
 
-	private int registersRead;
+	private int registerReadCount;
 
 	PlatformReplicator(ObjectStore store, FleetState state, ControlThread control, EventLog events,
-			TaskFailureHandler guard, StewardSettings settings, Runnable onNews) {
+			TaskFailureHandler failureHandler, StewardSettings settings, Runnable onUpdate) {
 		this.store = store;
 		this.state = state;
 		this.control = control;
 		this.events = events;
-		this.guard = guard;
+		this.failureHandler = failureHandler;
 		this.settings = settings;
-		this.onNews = onNews;
+		this.onUpdate = onUpdate;
 	}
 
 	/**
-	 * Read what is due. Called at each poll interval.
+	 * Read the registers that are due. Must be called at each poll interval.
 	 */
-	void tick() {
+	void readDue() {
 		boolean watcher = WatcherSelection.isWatcher(this.settings.vm().id(), this.settings.vm().domain(),
 				this.state.vms());
 		long nowMs = Clocks.SYSTEM.monotonicMs();
@@ -86,12 +87,12 @@
 		if (nowMs < this.nextReadMs) {
 			return;
 		}
-		boolean known = this.answeredMs != Long.MIN_VALUE;
-		this.nextReadMs = nowMs + ((watcher || !known) ? this.settings.pollMs() : this.settings.backgroundMs());
-		readSlots();
-		long listVersion = this.state.register(RegisterName.VMS).version();
-		submit(() -> this.store.readVmList(listVersion), (value) -> take(RegisterName.VMS, value));
-		if (!watcher || !known) {
+		boolean reached = this.lastReplyMs != Long.MIN_VALUE;
+		this.nextReadMs = nowMs + ((watcher || !reached) ? this.settings.pollMs() : this.settings.backgroundMs());
+		readSlotMap();
+		long vmListVersion = this.state.register(RegisterName.VMS).version();
+		submit(() -> this.store.readVmList(vmListVersion), (value) -> offerValue(RegisterName.VMS, value));
+		if (!watcher || !reached) {
 			readNewer(RegisterName.CONFIG);
 		}
 		fetchBlobs();
@@ -105,31 +106,31 @@
 			this.watching.set(false);
 			return result;
 		}, (value) -> {
-			take(RegisterName.CONFIG, value);
+			offerValue(RegisterName.CONFIG, value);
 			if (value.isPresent()) {
-				tick();
+				readDue();
 			}
 		});
 	}
 
-	void readSlots() {
+	void readSlotMap() {
 		readNewer(RegisterName.SLOTS);
 	}
 
 	private void readNewer(String name) {
 		long version = this.state.register(name).version();
-		submit(() -> this.store.watch(name, version, 0), (value) -> take(name, value));
+		submit(() -> this.store.watch(name, version, 0), (value) -> offerValue(name, value));
 	}
 
-	private void take(String name, Optional<StoredValue> value) {
-		this.registersRead++;
+	private void offerValue(String name, Optional<StoredValue> value) {
+		this.registerReadCount++;
 		if (value.isEmpty()) {
 			return;
 		}
-		boolean news = this.state.offer(name, value.get().version(), value.get().bytes(), "platform");
+		boolean applied = this.state.offer(name, value.get().version(), value.get().bytes(), "platform");
 		fetchBlobs();
-		if (news) {
-			this.onNews.run();
+		if (applied) {
+			this.onUpdate.run();
 		}
 	}
 
@@ -137,58 +138,57 @@
 		List<String> missing = this.state.missingBlobs();
 		for (String digest : missing) {
 			submit(() -> this.store.read(RegisterName.BLOB_PREFIX + digest), (value) -> {
-				long before = this.state.manifest().version();
+				long previousVersion = this.state.manifest().version();
 				value.ifPresent((stored) -> this.state.offerBlob(digest, stored.bytes(), "platform"));
-				if (this.state.manifest().version() > before) {
-					this.onNews.run();
+				if (this.state.manifest().version() > previousVersion) {
+					this.onUpdate.run();
 				}
 			});
 		}
 	}
 
 	/**
-	 * Write the slot map if it still has a version. The result comes on the control
-	 * thread.
-	 * @param value the value
-	 * @param expectedVersion the version
-	 * @param then takes the result
+	 * Write the slot map if the stored one still has the expected version.
+	 * @param value the encoded slot map
+	 * @param expectedVersion the expected version
+	 * @param callback receives the result on the control thread
 	 */
-	void writeSlots(byte[] value, long expectedVersion, Consumer<WriteResult> then) {
-		this.threads.execute(this.guard.wrap("platform write", () -> {
+	void writeSlotMap(byte[] value, long expectedVersion, Consumer<WriteResult> callback) {
+		this.threads.execute(this.failureHandler.wrap("platform write", () -> {
 			WriteResult result = this.store.write(RegisterName.SLOTS, value, expectedVersion);
 			this.control.execute("platform write", () -> {
 				if (result.status() == WriteResult.Status.EFFECT_UNKNOWN) {
 					this.events.emit(EventCode.PLATFORM_EFFECT_UNKNOWN, RegisterName.SLOTS + ": " + result.message());
 				}
 				else {
-					answered();
+					onReply();
 				}
-				then.accept(result);
+				callback.accept(result);
 			});
 		}));
 	}
 
 	private void submit(Supplier<Either<PlatformError, Optional<StoredValue>>> call,
-			Consumer<Optional<StoredValue>> then) {
-		this.threads.execute(this.guard.wrap("platform read", () -> {
+			Consumer<Optional<StoredValue>> callback) {
+		this.threads.execute(this.failureHandler.wrap("platform read", () -> {
 			Either<PlatformError, Optional<StoredValue>> result = call.get();
 			this.control.execute("platform read", () -> {
 				if (result.isLeft()) {
-					failed(result.getLeft());
+					onFailure(result.getLeft());
 					return;
 				}
-				answered();
-				then.accept(result.get());
+				onReply();
+				callback.accept(result.get());
 			});
 		}));
 	}
 
-	private void answered() {
-		this.answeredMs = Clocks.SYSTEM.monotonicMs();
+	private void onReply() {
+		this.lastReplyMs = Clocks.SYSTEM.monotonicMs();
 		this.failing = false;
 	}
 
-	private void failed(PlatformError error) {
+	private void onFailure(PlatformError error) {
 		if (!this.failing) {
 			this.events.emit(EventCode.PLATFORM_FAILED, error.message());
 		}
@@ -196,27 +196,27 @@
 	}
 
 	/**
-	 * Return whether the latest call was answered.
-	 * @return false during an outage
+	 * Return whether the platform's service replied to the latest call.
+	 * @return true if so; false before the first reply
 	 */
-	boolean healthy() {
-		return this.answeredMs != Long.MIN_VALUE && !this.failing;
+	boolean isHealthy() {
+		return this.lastReplyMs != Long.MIN_VALUE && !this.failing;
 	}
 
 	/**
-	 * Return when a call was last answered.
-	 * @return by the monotonic clock; {@link Long#MIN_VALUE} if never
+	 * Return the time of the latest reply.
+	 * @return the time by the monotonic clock; {@link Long#MIN_VALUE} if there was none
 	 */
-	long answeredMs() {
-		return this.answeredMs;
+	long lastReplyMs() {
+		return this.lastReplyMs;
 	}
 
 	/**
-	 * Return whether every register was read at least once.
+	 * Return whether there were at least as many successful reads as there are registers.
 	 * @return true if so
 	 */
-	boolean readOnce() {
-		return this.registersRead >= this.state.registers().size();
+	boolean hasReadRegisters() {
+		return this.registerReadCount >= this.state.registers().size();
 	}
 
 	@Override
--- a/steward/src/main/java/org/tallycart/steward/RegisterName.java
+++ b/steward/src/main/java/org/tallycart/steward/RegisterName.java
@@ -1,8 +1,8 @@
 package org.tallycart.steward;
 
 /**
- * Names of the registers that stewards keep in step, and of the platform's objects behind
- * them.
+ * Names of the registers that stewards replicate, and of the platform's objects that
+ * store them.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -19,7 +19,7 @@
 	/** The list of VMs. */
 	static final String VMS = "vms";
 
-	/** Prefix of the objects that hold parts, followed by a digest. */
+	/** Prefix of the objects that store parts; the digest follows. */
 	static final String BLOB_PREFIX = "blob-";
 
 	private RegisterName() {
--- a/steward/src/main/java/org/tallycart/steward/SerialExecutor.java
+++ b/steward/src/main/java/org/tallycart/steward/SerialExecutor.java
@@ -1,7 +1,7 @@
 package org.tallycart.steward;
 
 /**
- * Where a steward's state is read and changed, one task at a time.
+ * Executor of the tasks that read and change a steward's state, one at a time.
  *
  * @since 0.1
  */
@@ -9,8 +9,8 @@
 interface SerialExecutor {
 
 	/**
-	 * Run a task after those before it.
-	 * @param name the task's name in events
+	 * Run a task after the tasks submitted before it.
+	 * @param name the task's name, for events
 	 * @param task the task
 	 */
 	void execute(String name, Runnable task);
--- a/steward/src/main/java/org/tallycart/steward/SlotOwnershipManager.java
+++ b/steward/src/main/java/org/tallycart/steward/SlotOwnershipManager.java
@@ -35,12 +35,12 @@
 import org.tallycart.wire.message.HandoverCall;
 
 /**
- * Owns slots: answers claims, takes over slots whose owner is gone, hands slots over.
+ * Manages the slots that this VM owns: decides claims, takes over slots whose owner has
+ * failed, and hands slots over.
  * <p>
- * One change of the slot map is in progress at a time. A write whose effect is unknown is
- * repeated until its effect is known; until then the slots it concerns stay sealed, since
- * the first write can still take effect late. Not thread-safe: confined to the control
- * thread.
+ * At most one change of the slot map is in progress. A write whose effect is unknown is
+ * retried until its effect is known; until then the slots of a handover stay sealed, as
+ * the first write can still take effect. Not thread-safe: confined to the control thread.
  *
  * @since 0.1
  */
@@ -64,11 +64,11 @@
 
 	private boolean draining;
 
-	private boolean busy;
+	private boolean changeInProgress;
 
-	private @Nullable SlotChange unresolved;
+	private @Nullable SlotChange unresolvedChange;
 
-	private @Nullable PlanInputs settled;
+	private @Nullable PlanInputs settledInputs;
 
 	private long handoverSequence;
 
@@ -83,38 +83,39 @@
 		this.claims = claims;
 	}
 
-	void draining(boolean drains) {
-		this.draining = drains;
+	void setDraining(boolean draining) {
+		this.draining = draining;
 	}
 
 	/**
-	 * Adopt the slot map that is now known.
+	 * Apply the latest known slot map to the claims.
 	 */
-	void adopt() {
+	void applySlotMap() {
 		if (this.state.register(RegisterName.SLOTS).version() > 0) {
 			this.claims.applySlotMap(this.state.slots(), Clocks.SYSTEM.wallMs());
 		}
 	}
 
 	/**
-	 * Begin one change of the slot map, if one is due and none is in progress.
+	 * Remove expired claims, and start a change of the slot map if one is due and none is
+	 * in progress.
 	 */
-	void tick() {
+	void startDueChange() {
 		this.claims.expire(Clocks.SYSTEM.wallMs());
-		if (this.busy) {
+		if (this.changeInProgress) {
 			return;
 		}
-		if (this.unresolved != null) {
-			write(this.unresolved);
+		if (this.unresolvedChange != null) {
+			write(this.unresolvedChange);
 			return;
 		}
-		if (!this.platform.healthy() || this.state.vms().version() == 0) {
+		if (!this.platform.isHealthy() || this.state.vms().version() == 0) {
 			return;
 		}
-		List<String> active = new ArrayList<>(this.peers.active(Clocks.SYSTEM.monotonicMs()));
+		List<String> active = new ArrayList<>(this.peers.activeVms(Clocks.SYSTEM.monotonicMs()));
 		PlanInputs inputs = new PlanInputs(this.state.register(RegisterName.SLOTS).version(),
 				this.state.vms().version(), this.draining, Set.copyOf(active));
-		if (inputs.equals(this.settled)) {
+		if (inputs.equals(this.settledInputs)) {
 			return;
 		}
 		if (!this.draining) {
@@ -132,7 +133,7 @@
 			handOver(plan.firstKey(), plan.getOrDefault(plan.firstKey(), List.of()));
 			return;
 		}
-		this.settled = inputs;
+		this.settledInputs = inputs;
 	}
 
 	private SlotChange change(List<Integer> slots, String vm, long incarnation, boolean handedOver) {
@@ -145,94 +146,93 @@
 		if (client == null) {
 			return;
 		}
-		this.busy = true;
+		this.changeInProgress = true;
 		List<SlotHandover> moved = this.claims.seal(slots);
 		HandoverCall.Builder call = HandoverCall.newBuilder().setSequence(++this.handoverSequence);
-		moved.forEach((handover) -> call.addSlots(ClaimMessageCodec.slotClaims(handover)));
+		moved.forEach((handover) -> call.addSlots(ClaimMessageCodec.encodeHandover(handover)));
 		client.call(Envelope.newBuilder().setHandoverCall(call), HANDOVER_TIMEOUT_MS)
-			.thenAccept((reply) -> this.control.execute("handover", () -> offered(vm, slots, reply)));
+			.thenAccept((reply) -> this.control.execute("handover", () -> onHandoverReply(vm, slots, reply)));
 	}
 
-	private void offered(String vm, List<Integer> slots, Either<WireError, Envelope> reply) {
-		this.busy = false;
+	private void onHandoverReply(String vm, List<Integer> slots, Either<WireError, Envelope> reply) {
+		this.changeInProgress = false;
 		boolean accepted = reply.isRight() && reply.get().getAck().getAccepted();
 		if (!accepted) {
-			// Nothing names the other VM as owner yet, so the slots are still this one's.
+			// The slot map was not written, so this VM still owns the slots.
 			this.claims.unseal(slots);
-			this.events.emit(EventCode.HANDOVER_FAILED, vm + " did not take slots " + slots + "; kept here");
+			this.events.emit(EventCode.HANDOVER_FAILED, vm + " did not accept slots " + slots + "; this VM keeps them");
 			return;
 		}
 		write(change(slots, vm, reply.get().getSenderIncarnation(), true));
 	}
 
 	private void write(SlotChange change) {
-		this.busy = true;
+		this.changeInProgress = true;
 		byte[] value = change.next().encode().getBytes(StandardCharsets.UTF_8);
-		this.platform.writeSlots(value, change.expectedVersion(), (result) -> {
-			this.busy = false;
-			written(change, value, result);
+		this.platform.writeSlotMap(value, change.expectedVersion(), (result) -> {
+			this.changeInProgress = false;
+			onWritten(change, value, result);
 		});
 	}
 
-	private void written(SlotChange change, byte[] value, WriteResult result) {
+	private void onWritten(SlotChange change, byte[] value, WriteResult result) {
 		switch (result.status()) {
 			case APPLIED -> {
-				this.unresolved = null;
+				this.unresolvedChange = null;
 				EventCode code = change.handedOver() ? EventCode.SLOTS_HANDED_OVER : EventCode.SLOTS_TAKEN_OVER;
 				this.events.emit(code, change.slots() + " to " + change.vm());
 				this.state.offer(RegisterName.SLOTS, result.version(), value, "own write");
 			}
 			case CONFLICT -> {
-				// The version has moved on, so neither this write nor an earlier try can
-				// still
-				// take effect; the map tells whether one did.
-				this.unresolved = null;
-				resolve(change);
+				// The stored version is newer, so no attempt of this write can still
+				// take effect; the new slot map shows whether one did.
+				this.unresolvedChange = null;
+				resolveConflict(change);
 			}
 			case NOT_APPLIED -> {
-				if (this.unresolved == null) {
+				if (this.unresolvedChange == null) {
 					abandon(change);
 				}
 			}
 			default -> {
-				this.unresolved = change;
+				this.unresolvedChange = change;
 			}
 		}
 	}
 
-	private void resolve(SlotChange change) {
-		this.busy = true;
-		this.platform.readSlots();
+	private void resolveConflict(SlotChange change) {
+		this.changeInProgress = true;
+		this.platform.readSlotMap();
 		long knownVersion = change.expectedVersion();
-		waitForNewer(change, knownVersion);
+		awaitNewerSlotMap(change, knownVersion);
 	}
 
-	private void waitForNewer(SlotChange change, long knownVersion) {
+	private void awaitNewerSlotMap(SlotChange change, long knownVersion) {
 		if (this.state.register(RegisterName.SLOTS).version() > knownVersion) {
-			this.busy = false;
+			this.changeInProgress = false;
 			if (!tookEffect(change)) {
 				abandon(change);
 			}
 			return;
 		}
-		this.platform.readSlots();
+		this.platform.readSlotMap();
 		CompletableFuture.delayedExecutor(100, TimeUnit.MILLISECONDS)
-			.execute(() -> this.control.execute("resolve", () -> waitForNewer(change, knownVersion)));
+			.execute(() -> this.control.execute("resolve", () -> awaitNewerSlotMap(change, knownVersion)));
 	}
 
 	private boolean tookEffect(SlotChange change) {
 		int slot = change.slots().get(0);
-		SlotOwner wanted = change.next().owner(slot);
-		SlotOwner present = this.state.slots().owner(slot);
-		return wanted != null && present != null && present.term() >= wanted.term()
-				&& (present.equals(wanted) || !present.matches(this.identity.vm(), this.identity.incarnation()));
+		SlotOwner intended = change.next().owner(slot);
+		SlotOwner actual = this.state.slots().owner(slot);
+		return intended != null && actual != null && actual.term() >= intended.term()
+				&& (actual.equals(intended) || !actual.matches(this.identity.vm(), this.identity.incarnation()));
 	}
 
 	private void abandon(SlotChange change) {
 		if (change.handedOver()) {
 			this.claims.unseal(change.slots());
 			this.events.emit(EventCode.HANDOVER_FAILED,
-					"the slot map was not changed; slots " + change.slots() + " kept here");
+					"the slot map was not changed; this VM keeps slots " + change.slots());
 		}
 	}
 
@@ -241,23 +241,23 @@
 		if (key.isLeft()) {
 			return ClaimAnswer.newBuilder().setStatus(ClaimAnswer.Status.NOT_OWNER).build();
 		}
-		ClaimHolder asker = ClaimMessageCodec.holder(call.getClaimant());
-		ClaimReply reply = this.claims.claim(key.get(), asker, call.getKnownTerm(), Clocks.SYSTEM.wallMs());
-		this.events.emit(EventCode.CLAIM_ANSWERED, SubmissionId.requestIdOf(asker.attemptId()),
+		ClaimHolder claimant = ClaimMessageCodec.decodeHolder(call.getClaimant());
+		ClaimReply reply = this.claims.claim(key.get(), claimant, call.getKnownTerm(), Clocks.SYSTEM.wallMs());
+		this.events.emit(EventCode.CLAIM_ANSWERED, SubmissionId.requestIdOf(claimant.attemptId()),
 				call.getKey() + " " + reply.status());
-		return ClaimMessageCodec.answer(reply);
+		return ClaimMessageCodec.encodeReply(reply);
 	}
 
 	boolean onFinish(ClaimFinish finish) {
 		return IdempotencyKey.parse(finish.getKey())
-			.map((key) -> this.claims.finish(key, ClaimMessageCodec.holder(finish.getClaimant()),
+			.map((key) -> this.claims.finish(key, ClaimMessageCodec.decodeHolder(finish.getClaimant()),
 					finish.getResult().toByteArray()))
 			.getOrElse(false);
 	}
 
 	boolean onRelease(ClaimRelease release) {
 		return IdempotencyKey.parse(release.getKey())
-			.map((key) -> this.claims.release(key, ClaimMessageCodec.holder(release.getClaimant())))
+			.map((key) -> this.claims.release(key, ClaimMessageCodec.decodeHolder(release.getClaimant())))
 			.getOrElse(false);
 	}
 
@@ -265,22 +265,23 @@
 		if (this.draining) {
 			return false;
 		}
-		boolean all = true;
+		boolean allStaged = true;
 		List<Integer> slots = new ArrayList<>();
-		for (SlotHandover handover : ClaimMessageCodec.handovers(call)) {
-			all &= this.claims.stage(handover);
+		for (SlotHandover handover : ClaimMessageCodec.decodeHandovers(call)) {
+			allStaged &= this.claims.stage(handover);
 			slots.add(handover.slot());
 		}
 		this.events.emit(EventCode.SLOTS_STAGED, slots + " from " + from);
-		return all;
+		return allStaged;
 	}
 
 	/**
-	 * Return whether a stop now would lose claims.
-	 * @return true while slots are owned here
+	 * Return whether this VM owns slots or a change is in progress, so that a stop could
+	 * lose claims.
+	 * @return true if so
 	 */
 	boolean ownsSlots() {
-		return this.busy || this.unresolved != null
+		return this.changeInProgress || this.unresolvedChange != null
 				|| !this.state.slots().ownedBy(this.identity.vm(), this.identity.incarnation()).isEmpty();
 	}
 
@@ -289,7 +290,7 @@
 	}
 
 	/**
-	 * What a plan is made from; while it stays the same, there is nothing to do again.
+	 * Inputs of a plan. Unchanged inputs give the same plan, so it is not computed again.
 	 */
 	private record PlanInputs(long slotsVersion, long vmsVersion, boolean draining, Set<String> active) {
 	}
--- a/steward/src/main/java/org/tallycart/steward/Steward.java
+++ b/steward/src/main/java/org/tallycart/steward/Steward.java
@@ -27,23 +27,24 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * The running steward: puts the parts together and routes messages to them.
+ * A running steward: creates its components and dispatches messages to them.
  * <p>
- * All state is confined to the control thread; this class is thread-safe.
+ * Thread-safe: state is confined to the control thread, except for volatile flags.
  *
  * @since 0.1
  */
 final class Steward implements Daemon {
 
-	private static final int EVENTS_KEPT = 20_000;
+	private static final int EVENT_LOG_CAPACITY = 20_000;
 
-	private static final long SLOT_TICK_MS = 200;
+	private static final long SLOT_CHECK_INTERVAL_MS = 200;
 
-	private static final long CURRENCY_MS = 5_000;
+	/** Time without contact after which the state is no longer known to be current. */
+	private static final long CURRENCY_TIMEOUT_MS = 5_000;
 
-	private static final long FEED_TICK_MS = 1_000;
+	private static final long FEED_INTERVAL_MS = 1_000;
 
-	private static final long DRAIN_STEP_MS = 50;
+	private static final long DRAIN_POLL_INTERVAL_MS = 50;
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -90,9 +91,9 @@
 		this.settings = settings;
 		String vm = settings.vm().id();
 		HybridClock clock = new HybridClock();
-		this.events = EventLog.create("steward@" + vm, EVENTS_KEPT, clock, Clocks.SYSTEM);
-		TaskFailureHandler guard = TaskFailureHandler.install(this.events::emit);
-		this.control = new ControlThread(guard);
+		this.events = EventLog.create("steward@" + vm, EVENT_LOG_CAPACITY, clock, Clocks.SYSTEM);
+		TaskFailureHandler failureHandler = TaskFailureHandler.install(this.events::emit);
+		this.control = new ControlThread(failureHandler);
 		WireIdentity identity = new WireIdentity(vm, Clocks.SYSTEM.wallMs(), clock, Clocks.SYSTEM::wallMs);
 		this.transport = WireTransport.create(identity);
 		this.store = HttpObjectStore.create(settings.platform(), settings.platformTimeoutMs(), vm);
@@ -100,8 +101,8 @@
 		this.peers = new PeerDirectory(vm, this.state, this.transport::client, settings.seeds(), this.events);
 		this.gossip = new Gossip(this.state, this.peers, this.control, Clocks.SYSTEM::monotonicMs,
 				new Random(vm.hashCode()), settings.fanout());
-		this.platform = new PlatformReplicator(this.store, this.state, this.control, this.events, guard, settings,
-				this.gossip::round);
+		this.platform = new PlatformReplicator(this.store, this.state, this.control, this.events, failureHandler,
+				settings, this.gossip::round);
 		this.slots = new SlotOwnershipManager(identity, this.state, this.peers, this.platform, this.control,
 				this.events, ClaimTable.create(vm, identity.incarnation(), settings.window()));
 		this.shares = new WorkspaceShareCoordinator(vm, this.peers);
@@ -116,38 +117,38 @@
 					() -> steward.ready && !steward.draining, steward::statusJson);
 		}).map((status) -> {
 			steward.status = status;
-			steward.begin();
+			steward.startTasks();
 			return steward;
 		});
 	}
 
-	private void begin() {
+	private void startTasks() {
 		this.metrics.counter("wire.messages_in");
 		this.control.execute("start", () -> {
 			this.state.onChange(() -> {
-				this.slots.adopt();
-				markLeavingVms();
+				this.slots.applySlotMap();
+				markDrainingVms();
 				this.feed.push();
 			});
-			this.platform.tick();
+			this.platform.readDue();
 			this.gossip.round();
 		});
-		this.control.every("platform", this.settings.pollMs(), this.platform::tick);
-		this.control.every("gossip", this.settings.heartbeatMs(), this.gossip::round);
-		this.control.every("slots", SLOT_TICK_MS, () -> {
-			this.slots.tick();
+		this.control.scheduleWithFixedDelay("platform", this.settings.pollMs(), this.platform::readDue);
+		this.control.scheduleWithFixedDelay("gossip", this.settings.heartbeatMs(), this.gossip::round);
+		this.control.scheduleWithFixedDelay("slots", SLOT_CHECK_INTERVAL_MS, () -> {
+			this.slots.startDueChange();
 			this.ownsSlots = this.slots.ownsSlots();
-			assess();
+			updateReadinessAndCurrency();
 		});
-		this.control.every("feed", FEED_TICK_MS, () -> {
-			this.shares.prune();
+		this.control.scheduleWithFixedDelay("feed", FEED_INTERVAL_MS, () -> {
+			this.shares.removeIdle();
 			this.feed.push();
 		});
 		this.events.emit(EventCode.PROCESS_STARTED, listeningPorts());
 	}
 
-	private void markLeavingVms() {
-		this.state.offerLeaving(this.state.vms()
+	private void markDrainingVms() {
+		this.state.offerDraining(this.state.vms()
 			.withRole(Vm.ROLE_UPSTREAM)
 			.stream()
 			.filter((vm) -> vm.state() == VmState.LEAVING)
@@ -155,30 +156,31 @@
 			.toList());
 	}
 
-	private void assess() {
+	private void updateReadinessAndCurrency() {
 		long nowMs = Clocks.SYSTEM.monotonicMs();
-		boolean platformKnown = this.platform.readOnce();
-		boolean peerKnown = this.gossip.heardMs() != Long.MIN_VALUE && this.state.manifest().version() > 0;
+		boolean platformRead = this.platform.hasReadRegisters();
+		boolean peerConfigKnown = this.gossip.lastHeardMs() != Long.MIN_VALUE && this.state.manifest().version() > 0;
 		boolean complete = this.state.missingBlobs().isEmpty();
-		if (!this.ready && complete && this.gossip.settled() && (platformKnown || peerKnown)) {
+		if (!this.ready && complete && this.gossip.isRoundComplete() && (platformRead || peerConfigKnown)) {
 			this.ready = true;
 			this.events.emit(EventCode.STEWARD_READY, "config version=" + this.state.manifest().version());
 			this.feed.push();
 		}
-		boolean heard = lately(this.platform.answeredMs(), nowMs) || lately(this.gossip.heardMs(), nowMs);
-		if (heard != this.current) {
-			this.current = heard;
-			this.events.emit(heard ? EventCode.CURRENCY_KNOWN : EventCode.CURRENCY_UNKNOWN,
+		boolean recentContact = isRecent(this.platform.lastReplyMs(), nowMs)
+				|| isRecent(this.gossip.lastHeardMs(), nowMs);
+		if (recentContact != this.current) {
+			this.current = recentContact;
+			this.events.emit(recentContact ? EventCode.CURRENCY_KNOWN : EventCode.CURRENCY_UNKNOWN,
 					"config version=" + this.state.manifest().version());
 		}
 	}
 
-	private static boolean lately(long atMs, long nowMs) {
-		return atMs != Long.MIN_VALUE && nowMs - atMs < CURRENCY_MS;
+	private static boolean isRecent(long atMs, long nowMs) {
+		return atMs != Long.MIN_VALUE && nowMs - atMs < CURRENCY_TIMEOUT_MS;
 	}
 
 	private int activeVms() {
-		return this.peers.active(Clocks.SYSTEM.monotonicMs()).size() + (this.draining ? 0 : 1);
+		return this.peers.activeVms(Clocks.SYSTEM.monotonicMs()).size() + (this.draining ? 0 : 1);
 	}
 
 	private void onMessage(WirePeer peer, Envelope message) {
@@ -190,11 +192,11 @@
 	private void handle(WirePeer peer, Envelope message) {
 		switch (message.getBodyCase()) {
 			case HEARTBEAT -> reply(peer, message, this.gossip.onHeartbeat(message));
-			case PULL_REQUEST ->
-				reply(peer, message, Envelope.newBuilder().setPullReply(this.gossip.onPull(message.getPullRequest())));
+			case PULL_REQUEST -> reply(peer, message,
+					Envelope.newBuilder().setPullReply(this.gossip.onPullRequest(message.getPullRequest())));
 			case BLOB_REQUEST -> reply(peer, message,
 					Envelope.newBuilder().setBlobReply(this.gossip.onBlobRequest(message.getBlobRequest())));
-			case LEAVING_NOTICE -> this.gossip.onLeaving(message.getLeavingNotice());
+			case LEAVING_NOTICE -> this.gossip.onLeavingNotice(message.getLeavingNotice());
 			case CLAIM_CALL ->
 				reply(peer, message, Envelope.newBuilder().setClaimAnswer(this.slots.onClaim(message.getClaimCall())));
 			case CLAIM_FINISH -> reply(peer, message, ack(this.slots.onFinish(message.getClaimFinish())));
@@ -202,16 +204,16 @@
 			case HANDOVER_CALL ->
 				reply(peer, message, ack(this.slots.onHandover(message.getHandoverCall(), message.getSenderVm())));
 			case SUBSCRIBE -> this.feed.subscribe(peer);
-			case SHARE_REPORT -> share(peer, message);
+			case SHARE_REPORT -> onShareReport(peer, message);
 			default -> {
-				// A later release may send more.
+				// Ignores messages that only a later release knows.
 			}
 		}
 	}
 
-	private void share(WirePeer peer, Envelope message) {
-		boolean ownEntry = message.getSenderVm().equals(this.settings.vm().id());
-		if (ownEntry) {
+	private void onShareReport(WirePeer peer, Envelope message) {
+		boolean fromOwnEntry = message.getSenderVm().equals(this.settings.vm().id());
+		if (fromOwnEntry) {
 			this.shares.onEntryReport(message.getShareReport())
 				.thenAccept((answer) -> reply(peer, message, Envelope.newBuilder().setShareAnswer(answer)));
 			return;
@@ -245,7 +247,7 @@
 				.put("vms_version", this.state.vms().version())
 				.put("active_vms", activeVms());
 			this.slots.counts().forEach(node::put);
-			this.state.leaving().forEach(node.putArray("leaving")::add);
+			this.state.drainingUpstreams().forEach(node.putArray("leaving")::add);
 			done.countDown();
 		});
 		try {
@@ -267,13 +269,13 @@
 		this.draining = true;
 		this.events.emit(EventCode.DRAIN_BEGAN, "");
 		this.control.execute("drain", () -> {
-			this.gossip.draining(true);
-			this.slots.draining(true);
+			this.gossip.setDraining(true);
+			this.slots.setDraining(true);
 			this.gossip.round();
 		});
 		this.ownsSlots = true;
-		boolean clean = awaitHandover();
-		this.events.emit(EventCode.DRAIN_ENDED, "handed_over=" + clean);
+		boolean handedOver = awaitHandover();
+		this.events.emit(EventCode.DRAIN_ENDED, "handed_over=" + handedOver);
 		this.server.close();
 		this.status.close();
 		this.control.close();
@@ -284,12 +286,12 @@
 	}
 
 	private boolean awaitHandover() {
-		for (long waited = 0; waited < this.settings.drainMs(); waited += DRAIN_STEP_MS) {
+		for (long waitedMs = 0; waitedMs < this.settings.drainMs(); waitedMs += DRAIN_POLL_INTERVAL_MS) {
 			if (!this.ownsSlots) {
 				return true;
 			}
 			try {
-				Thread.sleep(DRAIN_STEP_MS);
+				Thread.sleep(DRAIN_POLL_INTERVAL_MS);
 			}
 			catch (InterruptedException ex) {
 				Thread.currentThread().interrupt();
--- a/steward/src/main/java/org/tallycart/steward/StewardMain.java
+++ b/steward/src/main/java/org/tallycart/steward/StewardMain.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * The program {@code tallycart-steward}.
+ * Main class of the program {@code tallycart-steward}.
  * <p>
  * Not thread-safe: used by the main thread.
  *
--- a/steward/src/main/java/org/tallycart/steward/StewardSettings.java
+++ b/steward/src/main/java/org/tallycart/steward/StewardSettings.java
@@ -13,31 +13,31 @@
 /**
  * Settings of a steward.
  *
- * @param vm who and where this VM is
- * @param peerListen where other stewards and this VM's entry connect
- * @param seeds stewards to ask while the list of VMs is not known
- * @param heartbeatMs how often heartbeats are sent
- * @param fanout to how many peers at a time
- * @param statusListen the status port
- * @param platform the platform's service
- * @param platformTimeoutMs how long to wait for its answers
- * @param watchWaitMs how long a watch waits there
- * @param pollMs how often a watcher reads what it does not watch
- * @param backgroundMs how often a VM that is no watcher reads
+ * @param vm the id and the location of this VM
+ * @param peerListen the address that other stewards and this VM's entry connect to
+ * @param seeds the stewards to contact while the list of VMs is not known
+ * @param heartbeatMs the interval between heartbeats
+ * @param fanout the number of peers that receive each heartbeat
+ * @param statusListen the address of the status port
+ * @param platform the address of the platform's service
+ * @param platformTimeoutMs the timeout of a call to the platform's service
+ * @param watchWaitMs the maximum wait of a watch on the platform's service
+ * @param pollMs the interval at which a watcher polls the registers it does not watch
+ * @param backgroundMs the interval at which a VM that is not a watcher polls
  * @param window the window in which idempotency keys can be claimed
- * @param slotCount slots to create a new fleet with
- * @param drainMs longest graceful stop
+ * @param slotCount the number of slots in the slot map of a new fleet
+ * @param drainMs the maximum duration of a graceful stop
  * @since 0.1
  */
 record StewardSettings(VmSettings vm, Address peerListen, List<Address> seeds, long heartbeatMs, int fanout,
 		Address statusListen, Address platform, long platformTimeoutMs, long watchWaitMs, long pollMs,
 		long backgroundMs, IdempotencyKeyWindow window, int slotCount, long drainMs) {
 
-	private static final long SECOND = 1_000;
+	private static final long SECOND_MS = 1_000;
 
-	private static final long MINUTE = 60 * SECOND;
+	private static final long MINUTE_MS = 60 * SECOND_MS;
 
-	private static final long HOUR = 60 * MINUTE;
+	private static final long HOUR_MS = 60 * MINUTE_MS;
 
 	static StewardSettings read(SettingsFile file, List<Problem> problems) {
 		VmSettings vm = VmSettings.read(file, problems);
@@ -47,15 +47,15 @@
 		SectionReader claims = file.section("claims", problems);
 		SectionReader drain = file.section("drain", problems);
 		StewardSettings settings = new StewardSettings(vm, peer.address("listen", "127.0.0.1:7301"), seeds(peer),
-				peer.durationMs("heartbeat-interval", SECOND, 50, MINUTE), (int) peer.number("fanout", 3, 1, 16),
+				peer.durationMs("heartbeat-interval", SECOND_MS, 50, MINUTE_MS), (int) peer.number("fanout", 3, 1, 16),
 				status.address("listen", "127.0.0.1:7302"), platform.address("address", "127.0.0.1:7400"),
-				platform.durationMs("timeout", 2 * SECOND, 50, MINUTE),
-				platform.durationMs("watch-wait", 5 * SECOND, 100, MINUTE),
-				platform.durationMs("poll-interval", SECOND, 50, MINUTE),
-				platform.durationMs("background-interval", MINUTE, SECOND, HOUR),
-				new IdempotencyKeyWindow(claims.durationMs("retention", 10 * MINUTE, SECOND, 24 * HOUR),
-						claims.durationMs("clock-skew", SECOND, 1, MINUTE)),
-				(int) claims.number("slots", 64, 1, 16_384), drain.durationMs("timeout", 15 * SECOND, 0, HOUR));
+				platform.durationMs("timeout", 2 * SECOND_MS, 50, MINUTE_MS),
+				platform.durationMs("watch-wait", 5 * SECOND_MS, 100, MINUTE_MS),
+				platform.durationMs("poll-interval", SECOND_MS, 50, MINUTE_MS),
+				platform.durationMs("background-interval", MINUTE_MS, SECOND_MS, HOUR_MS),
+				new IdempotencyKeyWindow(claims.durationMs("retention", 10 * MINUTE_MS, SECOND_MS, 24 * HOUR_MS),
+						claims.durationMs("clock-skew", SECOND_MS, 1, MINUTE_MS)),
+				(int) claims.number("slots", 64, 1, 16_384), drain.durationMs("timeout", 15 * SECOND_MS, 0, HOUR_MS));
 		List.of(peer, status, platform, claims, drain).forEach(SectionReader::reportUnknownKeys);
 		return settings;
 	}
--- a/steward/src/main/java/org/tallycart/steward/WorkspaceShareCoordinator.java
+++ b/steward/src/main/java/org/tallycart/steward/WorkspaceShareCoordinator.java
@@ -18,8 +18,8 @@
 import org.tallycart.wire.message.ShareReport;
 
 /**
- * Divides workspace limits among VMs: asks the home of each workspace on behalf of this
- * VM's entry, and is the home of some.
+ * Divides workspace limits among VMs: requests shares for this VM's entry from the
+ * allocator of each workspace, and is the allocator of some workspaces.
  * <p>
  * Not thread-safe: confined to the control thread.
  *
@@ -29,13 +29,14 @@
 
 	private static final long CALL_TIMEOUT_MS = 800;
 
-	private static final long IDLE_MS = 30_000;
+	/** Time without a report after which an allocator is removed. */
+	private static final long IDLE_TIMEOUT_MS = 30_000;
 
 	private final String self;
 
 	private final PeerDirectory peers;
 
-	private final Map<String, WorkspaceAllocator> homes = new HashMap<>();
+	private final Map<String, WorkspaceAllocator> allocators = new HashMap<>();
 
 	WorkspaceShareCoordinator(String self, PeerDirectory peers) {
 		this.self = self;
@@ -43,32 +44,34 @@
 	}
 
 	/**
-	 * Answer this VM's entry: ask the homes of the workspaces it names.
+	 * Handle a report of this VM's entry: request shares from the allocators of the
+	 * workspaces it names.
 	 * @param report the entry's demand
-	 * @return the grants that could be had in time
+	 * @return the grants of the allocators that replied within the timeout
 	 */
 	CompletableFuture<ShareAnswer> onEntryReport(ShareReport report) {
 		long nowMs = Clocks.SYSTEM.monotonicMs();
-		List<String> candidates = new ArrayList<>(this.peers.active(nowMs));
+		List<String> candidates = new ArrayList<>(this.peers.activeVms(nowMs));
 		candidates.add(this.self);
-		Map<String, ShareReport.Builder> byHome = new HashMap<>();
+		Map<String, ShareReport.Builder> byAllocator = new HashMap<>();
 		for (ShareDemand demand : report.getDemandsList()) {
-			String home = RendezvousHash.first("workspace " + demand.getWorkspace(), candidates).orElse(this.self);
-			byHome.computeIfAbsent(home, (key) -> ShareReport.newBuilder()).addDemands(demand);
+			String allocatorVm = RendezvousHash.first("workspace " + demand.getWorkspace(), candidates)
+				.orElse(this.self);
+			byAllocator.computeIfAbsent(allocatorVm, (key) -> ShareReport.newBuilder()).addDemands(demand);
 		}
 		CompletableFuture<ShareAnswer.Builder> answer = CompletableFuture.completedFuture(ShareAnswer.newBuilder());
-		for (Map.Entry<String, ShareReport.Builder> entry : byHome.entrySet()) {
-			answer = answer.thenCombine(ask(entry.getKey(), entry.getValue().build()),
+		for (Map.Entry<String, ShareReport.Builder> entry : byAllocator.entrySet()) {
+			answer = answer.thenCombine(requestShares(entry.getKey(), entry.getValue().build()),
 					(all, part) -> all.addAllGrants(part.getGrantsList()));
 		}
 		return answer.thenApply(ShareAnswer.Builder::build);
 	}
 
-	private CompletableFuture<ShareAnswer> ask(String home, ShareReport report) {
-		if (home.equals(this.self)) {
+	private CompletableFuture<ShareAnswer> requestShares(String allocatorVm, ShareReport report) {
+		if (allocatorVm.equals(this.self)) {
 			return CompletableFuture.completedFuture(onPeerReport(report, this.self));
 		}
-		WireCaller client = this.peers.client(home).orElse(null);
+		WireCaller client = this.peers.client(allocatorVm).orElse(null);
 		if (client == null) {
 			return CompletableFuture.completedFuture(ShareAnswer.getDefaultInstance());
 		}
@@ -77,35 +80,35 @@
 	}
 
 	/**
-	 * Answer a VM as the home of workspaces.
+	 * Handle a report of a VM as the allocator of the workspaces it names.
 	 * @param report the VM's demand
-	 * @param vm the VM
+	 * @param vm the VM's id
 	 * @return the grants
 	 */
 	ShareAnswer onPeerReport(ShareReport report, String vm) {
 		long nowMs = Clocks.SYSTEM.monotonicMs();
 		ShareAnswer.Builder answer = ShareAnswer.newBuilder();
 		for (ShareDemand demand : report.getDemandsList()) {
-			WorkspaceAllocator home = this.homes.computeIfAbsent(demand.getWorkspace(),
+			WorkspaceAllocator allocator = this.allocators.computeIfAbsent(demand.getWorkspace(),
 					(key) -> new WorkspaceAllocator(ShareAllocator.create(nowMs)));
-			home.usedMs = nowMs;
-			double rate = home.shares.allocate(new ShareRequest(demand.getWorkspace(), vm, demand.getDemandPerSecond(),
-					demand.getHoldsPerSecond()), demand.getLimitPerSecond(), nowMs);
+			allocator.lastUsedMs = nowMs;
+			double rate = allocator.shares.allocate(new ShareRequest(demand.getWorkspace(), vm,
+					demand.getDemandPerSecond(), demand.getHoldsPerSecond()), demand.getLimitPerSecond(), nowMs);
 			answer.addGrants(ShareGrant.newBuilder().setWorkspace(demand.getWorkspace()).setRatePerSecond(rate));
 		}
 		return answer.build();
 	}
 
-	void prune() {
+	void removeIdle() {
 		long nowMs = Clocks.SYSTEM.monotonicMs();
-		this.homes.values().removeIf((home) -> nowMs - home.usedMs > IDLE_MS);
+		this.allocators.values().removeIf((allocator) -> nowMs - allocator.lastUsedMs > IDLE_TIMEOUT_MS);
 	}
 
 	private static final class WorkspaceAllocator {
 
 		private final ShareAllocator shares;
 
-		private long usedMs;
+		private long lastUsedMs;
 
 		private WorkspaceAllocator(ShareAllocator shares) {
 			this.shares = shares;
