--- a/steward/src/main/java/org/tallycart/steward/EntryFeed.java
+++ b/steward/src/main/java/org/tallycart/steward/EntryFeed.java
@@ -106,7 +106,7 @@
 
 	}
 
-	/** Versions and values that tell whether an update has anything new. */
+	/** Summary of the state sent to an entry, compared to skip unchanged updates. */
 	private record StateSummary(long config, long slots, long vms, int drainingCount, int activeVms, boolean ready) {
 	}
 
--- a/steward/src/main/java/org/tallycart/steward/PeerDirectory.java
+++ b/steward/src/main/java/org/tallycart/steward/PeerDirectory.java
@@ -31,7 +31,9 @@
 	/** Fixed part of the time without contact after which a VM is no longer active. */
 	private static final long ACTIVE_WINDOW_BASE_MS = 5_000;
 
-	/** Addition to that time for each live VM, as gossip takes longer in a larger fleet. */
+	/**
+	 * Addition to that time for each live VM, as gossip takes longer in a larger fleet.
+	 */
 	private static final long ACTIVE_WINDOW_PER_VM_MS = 20;
 
 	private final String self;
