--- a/ctl/src/main/java/org/tallycart/ctl/ApplyCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/ApplyCommand.java
@@ -18,8 +18,9 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Applies declarations: accepted, refused, in conflict, not applied, or, if the
- * platform's service stays silent, unknown with the command to run next.
+ * Applies a directory of declarations. The exit code tells whether the change was
+ * accepted, refused, in conflict, or not applied; if the platform's service does not
+ * reply, the outcome is unknown and the output names the command that resolves it.
  * <p>
  * Not thread-safe.
  *
@@ -28,7 +29,7 @@
 @Command(name = "apply", mixinStandardHelpOptions = true, description = "Apply a directory of declarations.")
 final class ApplyCommand implements Callable<Integer> {
 
-	private static final long POLL_MS = 100;
+	private static final long POLL_INTERVAL_MS = 100;
 
 	@Parameters(paramLabel = "DIR", description = "The directory of declarations.")
 	private Path directory = Path.of(".");
@@ -64,16 +65,17 @@
 			mine.getLeft().forEach((problem) -> System.err.println(problem));
 			return ExitCode.REFUSED;
 		}
-		long version = (this.base >= 0) ? this.base : DeclarationDirectory.baseVersion(this.directory);
+		long version = (this.base >= 0) ? this.base : DeclarationDirectory.readBaseVersion(this.directory);
 		String change = Generators.timeBasedEpochGenerator().generate().toString();
-		ApplyResult result = this.fleet.config().apply(mine.get(), version, change, this.author.replace('\t', ' '));
-		boolean inForce = result.status() == ApplyResult.Status.ACCEPTED
+		ApplyResult result = this.fleet.configStore()
+			.apply(mine.get(), version, change, this.author.replace('\t', ' '));
+		boolean active = result.status() == ApplyResult.Status.ACCEPTED
 				|| result.status() == ApplyResult.Status.UNCHANGED;
-		if (inForce) {
-			DeclarationDirectory.baseVersion(this.directory, result.version());
+		if (active) {
+			DeclarationDirectory.writeBaseVersion(this.directory, result.version());
 		}
-		int code = (inForce && this.quiet) ? ExitCode.OK : this.output.result(result, exitCode(result.status()));
-		return (inForce && this.wait) ? await(result.version()) : code;
+		int code = (active && this.quiet) ? ExitCode.OK : this.output.printResult(result, exitCode(result.status()));
+		return (active && this.wait) ? awaitActive(result.version()) : code;
 	}
 
 	private static int exitCode(ApplyResult.Status status) {
@@ -86,32 +88,32 @@
 		};
 	}
 
-	private int await(long version) throws InterruptedException {
-		long untilNs = System.nanoTime() + this.timeoutS * 1_000_000_000L;
-		List<String> behind = behind(version);
-		while (!behind.isEmpty() && System.nanoTime() < untilNs) {
-			Thread.sleep(POLL_MS);
-			behind = behind(version);
+	private int awaitActive(long version) throws InterruptedException {
+		long deadlineNs = System.nanoTime() + this.timeoutS * 1_000_000_000L;
+		List<String> outdated = describeOutdated(version);
+		while (!outdated.isEmpty() && System.nanoTime() < deadlineNs) {
+			Thread.sleep(POLL_INTERVAL_MS);
+			outdated = describeOutdated(version);
 		}
-		if (behind.isEmpty()) {
+		if (outdated.isEmpty()) {
 			System.out.println("in force everywhere");
 			return ExitCode.OK;
 		}
-		behind.forEach((line) -> System.out.println("not yet in force: " + line));
+		outdated.forEach((line) -> System.out.println("not yet in force: " + line));
 		return ExitCode.NOT_IN_FORCE;
 	}
 
-	private List<String> behind(long version) {
-		List<String> behind = new ArrayList<>();
-		for (Address address : this.fleet.fleet()) {
-			Either<String, JsonNode> status = FleetOptions.get(address, "/status");
-			long known = status.map((node) -> node.path("config_version").asLong()).getOrElse(-1L);
-			if (known < version) {
-				behind.add(address + status.fold((error) -> " " + error,
-						(node) -> " " + node.path("vm").asText() + " at version " + known));
+	private List<String> describeOutdated(long version) {
+		List<String> outdated = new ArrayList<>();
+		for (Address address : this.fleet.statusAddresses()) {
+			Either<String, JsonNode> status = FleetOptions.getJson(address, "/status");
+			long knownVersion = status.map((node) -> node.path("config_version").asLong()).getOrElse(-1L);
+			if (knownVersion < version) {
+				outdated.add(address + status.fold((error) -> " " + error,
+						(node) -> " " + node.path("vm").asText() + " at version " + knownVersion));
 			}
 		}
-		return behind;
+		return outdated;
 	}
 
 }
--- a/ctl/src/main/java/org/tallycart/ctl/ApplyResult.java
+++ b/ctl/src/main/java/org/tallycart/ctl/ApplyResult.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What became of an apply.
+ * Result of an apply.
  *
- * @param status what became of it
- * @param version the version in force after it, where known
- * @param lines what to tell the operator
+ * @param status the kind of result
+ * @param version the active version after the apply; 0 if it is not known
+ * @param lines the lines to print for the operator
  * @since 0.1
  */
 record ApplyResult(Status status, long version, List<String> lines) {
@@ -17,15 +17,17 @@
 
 		/** The change is accepted. */
 		ACCEPTED,
-		/** There was nothing to change. */
+		/** The declarations equal the active configuration. */
 		UNCHANGED,
-		/** The declarations are wrong. */
+		/** The declarations are invalid. */
 		REFUSED,
-		/** Another operator's change stands in the way. */
+		/** The change conflicts with another operator's change. */
 		CONFLICT,
 		/** The platform's service could not be reached; nothing was changed. */
 		NOT_APPLIED,
-		/** Whether the change took effect could not be found out in time. */
+		/**
+		 * The platform's service did not reply in time; the change may have taken effect.
+		 */
 		OUTCOME_UNKNOWN
 
 	}
--- a/ctl/src/main/java/org/tallycart/ctl/ConfigStore.java
+++ b/ctl/src/main/java/org/tallycart/ctl/ConfigStore.java
@@ -24,11 +24,12 @@
 import org.tallycart.platform.WriteResult;
 
 /**
- * The configuration in the platform's service: read, merged and moved by conditional
- * update.
+ * Reads the configuration from the platform's service, and updates it by a three-way
+ * merge and a conditional write of its head.
  * <p>
- * Invariant: a change is told as accepted only if its id stands in the head's history,
- * and as not accepted only if the head has moved on without it. Not thread-safe.
+ * Invariant: a change is reported as accepted only if its write was applied or its id is
+ * in the head's history; it is applied again only if the head has a newer version without
+ * it. Not thread-safe.
  *
  * @since 0.1
  */
@@ -38,9 +39,9 @@
 
 	private static final String BLOB_PREFIX = "blob-";
 
-	private static final int MAX_TRIES = 20;
+	private static final int MAX_ATTEMPTS = 20;
 
-	private static final long PAUSE_MS = 200;
+	private static final long RETRY_DELAY_MS = 200;
 
 	private final ObjectStore store;
 
@@ -48,7 +49,7 @@
 		this.store = store;
 	}
 
-	Either<PlatformError, ConfigHead> head() {
+	Either<PlatformError, ConfigHead> readHead() {
 		Either<PlatformError, Optional<StoredValue>> value = this.store.read(HEAD);
 		if (value.isLeft()) {
 			return Either.left(value.getLeft());
@@ -62,10 +63,10 @@
 			.mapLeft(PlatformError::new);
 	}
 
-	Either<PlatformError, SortedMap<String, String>> sections(SortedMap<String, String> parts) {
+	Either<PlatformError, SortedMap<String, String>> readSections(SortedMap<String, String> parts) {
 		SortedMap<String, String> texts = new TreeMap<>();
 		for (Map.Entry<String, String> part : parts.entrySet()) {
-			Either<PlatformError, String> text = blob(part.getValue());
+			Either<PlatformError, String> text = readBlob(part.getValue());
 			if (text.isLeft()) {
 				return Either.left(text.getLeft());
 			}
@@ -77,73 +78,74 @@
 		return Either.right(texts);
 	}
 
-	private Either<PlatformError, String> blob(String digest) {
+	private Either<PlatformError, String> readBlob(String digest) {
 		return this.store.read(BLOB_PREFIX + digest)
 			.flatMap((value) -> value
 				.<Either<PlatformError, String>>map(
 						(stored) -> Either.right(new String(stored.bytes(), StandardCharsets.UTF_8)))
-				.orElseGet(() -> Either.left(new PlatformError("part " + digest + " is not there"))));
+				.orElseGet(() -> Either.left(new PlatformError("part " + digest + " does not exist"))));
 	}
 
 	/**
-	 * Return the declarations of an earlier version that the history still knows.
+	 * Return the declarations of a version that is in the head's history.
 	 * @param head the head
-	 * @param version the version
-	 * @return the declarations, or why they cannot be had
+	 * @param version the version; 0 has no declarations
+	 * @return canonical texts by section name, or the error
 	 */
-	Either<PlatformError, SortedMap<String, String>> sectionsOf(ConfigHead head, long version) {
+	Either<PlatformError, SortedMap<String, String>> readVersion(ConfigHead head, long version) {
 		if (version == 0) {
 			return Either.right(new TreeMap<>());
 		}
 		if (version == head.manifest().version()) {
-			return sections(head.manifest().parts());
+			return readSections(head.manifest().parts());
 		}
 		Optional<ManifestChange> change = head.manifest()
 			.history()
 			.stream()
-			.filter((known) -> known.version() == version)
+			.filter((entry) -> entry.version() == version)
 			.findFirst();
 		if (change.isEmpty()) {
-			return Either.left(new PlatformError("version " + version + " is not among the last "
-					+ Manifest.HISTORY_LENGTH + " changes; check out afresh and name a later --base"));
+			return Either
+				.left(new PlatformError("version " + version + " is not among the last " + Manifest.HISTORY_LENGTH
+						+ " changes; fetch the current declarations and pass their version as --base"));
 		}
-		return blob(change.get().manifest()).flatMap((text) -> Manifest.decode(text).mapLeft(PlatformError::new))
-			.flatMap((manifest) -> sections(manifest.parts()));
+		return readBlob(change.get().manifest()).flatMap((text) -> Manifest.decode(text).mapLeft(PlatformError::new))
+			.flatMap((manifest) -> readSections(manifest.parts()));
 	}
 
 	/**
 	 * Apply an author's declarations.
-	 * @param mine what the author wants
-	 * @param baseVersion the version the author began from
-	 * @param changeId names the change
-	 * @param author who makes it
-	 * @return what became of it
+	 * @param mine the author's declarations, as canonical texts by section name
+	 * @param baseVersion the version that the author's declarations are based on
+	 * @param changeId the id of the change
+	 * @param author the author's name
+	 * @return the result
 	 */
 	ApplyResult apply(SortedMap<String, String> mine, long baseVersion, String changeId, String author) {
-		for (int i = 0; i < MAX_TRIES; i++) {
-			Either<PlatformError, ConfigHead> head = head();
+		for (int i = 0; i < MAX_ATTEMPTS; i++) {
+			Either<PlatformError, ConfigHead> head = readHead();
 			if (head.isLeft()) {
-				return failed(head.getLeft());
+				return notApplied(head.getLeft());
 			}
 			Either<ApplyResult, SortedMap<String, String>> merged = merge(head.get(), mine, baseVersion);
 			if (merged.isLeft()) {
 				return merged.getLeft();
 			}
-			Optional<ApplyResult> result = move(head.get(), merged.get(), changeId, author);
+			Optional<ApplyResult> result = writeChange(head.get(), merged.get(), changeId, author);
 			if (result.isPresent()) {
 				return result.get();
 			}
 		}
 		return new ApplyResult(ApplyResult.Status.NOT_APPLIED, 0,
-				List.of("other changes came first " + MAX_TRIES + " times"));
+				List.of("gave up after " + MAX_ATTEMPTS + " attempts, each overtaken by another change"));
 	}
 
 	private Either<ApplyResult, SortedMap<String, String>> merge(ConfigHead head, SortedMap<String, String> mine,
 			long baseVersion) {
-		Either<PlatformError, SortedMap<String, String>> theirs = sections(head.manifest().parts());
-		Either<PlatformError, SortedMap<String, String>> base = sectionsOf(head, baseVersion);
+		Either<PlatformError, SortedMap<String, String>> theirs = readSections(head.manifest().parts());
+		Either<PlatformError, SortedMap<String, String>> base = readVersion(head, baseVersion);
 		if (theirs.isLeft() || base.isLeft()) {
-			return Either.left(failed(theirs.isLeft() ? theirs.getLeft() : base.getLeft()));
+			return Either.left(notApplied(theirs.isLeft() ? theirs.getLeft() : base.getLeft()));
 		}
 		Either<List<MergeConflict>, SortedMap<String, String>> merged = ThreeWayMerge.merge(base.get(), mine,
 				theirs.get());
@@ -173,57 +175,58 @@
 		return "[" + conflict.section() + "] is changed here and by " + other;
 	}
 
-	private Optional<ApplyResult> move(ConfigHead head, SortedMap<String, String> texts, String changeId,
+	private Optional<ApplyResult> writeChange(ConfigHead head, SortedMap<String, String> texts, String changeId,
 			String author) {
-		Either<PlatformError, SortedMap<String, String>> before = sections(head.manifest().parts());
+		Either<PlatformError, SortedMap<String, String>> before = readSections(head.manifest().parts());
 		if (before.isLeft()) {
-			return Optional.of(failed(before.getLeft()));
+			return Optional.of(notApplied(before.getLeft()));
 		}
 		List<String> changed = ThreeWayMerge.changedNames(before.get(), texts);
 		Either<PlatformError, SortedMap<String, String>> parts = writeParts(texts, head.manifest().parts());
 		if (parts.isLeft()) {
-			return Optional.of(failed(parts.getLeft()));
+			return Optional.of(notApplied(parts.getLeft()));
 		}
 		String partsText = Manifest.encodeParts(parts.get());
 		Either<PlatformError, String> digest = writeBlob(partsText);
 		if (digest.isLeft()) {
-			return Optional.of(failed(digest.getLeft()));
+			return Optional.of(notApplied(digest.getLeft()));
 		}
 		Manifest next = head.manifest().next(parts.get(), changeId, author, digest.get(), changed);
-		return settle(head, next, changeId, changed);
+		return writeHead(head, next, changeId, changed);
 	}
 
-	private Optional<ApplyResult> settle(ConfigHead head, Manifest next, String changeId, List<String> changed) {
+	private Optional<ApplyResult> writeHead(ConfigHead head, Manifest next, String changeId, List<String> changed) {
 		byte[] value = next.encode().getBytes(StandardCharsets.UTF_8);
-		boolean unsure = false;
-		for (int i = 0; i < MAX_TRIES; i++) {
+		boolean effectUnknown = false;
+		for (int i = 0; i < MAX_ATTEMPTS; i++) {
 			WriteResult result = this.store.write(HEAD, value, head.objectVersion());
 			if (result.status() == WriteResult.Status.APPLIED) {
 				return Optional.of(accepted(next.version(), changed));
 			}
 			if (result.status() == WriteResult.Status.CONFLICT) {
-				// The head has moved on, so no try of this write can still take effect.
-				return lookUp(changeId, changed);
+				// The head has a newer version, so no attempt of this write can still
+				// take effect.
+				return findChange(changeId, changed);
 			}
-			if (result.status() == WriteResult.Status.NOT_APPLIED && !unsure) {
+			if (result.status() == WriteResult.Status.NOT_APPLIED && !effectUnknown) {
 				return Optional.of(new ApplyResult(ApplyResult.Status.NOT_APPLIED, 0, List.of(result.message())));
 			}
-			// The same write again: it takes effect at most once, since it names the
-			// version.
-			unsure = true;
-			pause();
+			// A retry is safe: the write names the expected version, so it takes effect
+			// at most once.
+			effectUnknown = true;
+			sleepBeforeRetry();
 		}
 		return Optional.of(new ApplyResult(ApplyResult.Status.OUTCOME_UNKNOWN, 0, List
 			.of("the platform's service does not answer; to know, run: tallyctl history --change " + changeId)));
 	}
 
-	private Optional<ApplyResult> lookUp(String changeId, List<String> changed) {
-		for (int i = 0; i < MAX_TRIES; i++) {
-			Either<PlatformError, ConfigHead> head = head();
+	private Optional<ApplyResult> findChange(String changeId, List<String> changed) {
+		for (int i = 0; i < MAX_ATTEMPTS; i++) {
+			Either<PlatformError, ConfigHead> head = readHead();
 			if (head.isRight()) {
 				return head.get().manifest().find(changeId).map((change) -> accepted(change.version(), changed));
 			}
-			pause();
+			sleepBeforeRetry();
 		}
 		return Optional.of(new ApplyResult(ApplyResult.Status.OUTCOME_UNKNOWN, 0, List
 			.of("the platform's service does not answer; to know, run: tallyctl history --change " + changeId)));
@@ -237,7 +240,7 @@
 	}
 
 	private Either<PlatformError, SortedMap<String, String>> writeParts(SortedMap<String, String> texts,
-			SortedMap<String, String> present) {
+			SortedMap<String, String> existing) {
 		SortedMap<String, StringBuilder> contents = new TreeMap<>();
 		texts
 			.forEach((name, text) -> contents.computeIfAbsent(ManifestParts.partOf(name), (part) -> new StringBuilder())
@@ -247,7 +250,7 @@
 		for (Map.Entry<String, StringBuilder> content : contents.entrySet()) {
 			String text = content.getValue().toString();
 			String digest = Digest.of(text);
-			if (!digest.equals(present.get(content.getKey()))) {
+			if (!digest.equals(existing.get(content.getKey()))) {
 				Either<PlatformError, String> written = writeBlob(text);
 				if (written.isLeft()) {
 					return Either.left(written.getLeft());
@@ -261,23 +264,24 @@
 	private Either<PlatformError, String> writeBlob(String text) {
 		String digest = Digest.of(text);
 		WriteResult result = this.store.write(BLOB_PREFIX + digest, text.getBytes(StandardCharsets.UTF_8), 0);
-		boolean there = result.status() == WriteResult.Status.APPLIED || result.status() == WriteResult.Status.CONFLICT;
-		if (!there) {
-			// A content is named by its digest: reading it back tells whether it is
-			// there.
-			there = blob(digest).filter(text::equals).isDefined();
+		boolean stored = result.status() == WriteResult.Status.APPLIED
+				|| result.status() == WriteResult.Status.CONFLICT;
+		if (!stored) {
+			// The digest names the content, so reading it back shows whether it is
+			// stored.
+			stored = readBlob(digest).filter(text::equals).isDefined();
 		}
-		return there ? Either.right(digest) : Either.left(new PlatformError(result.message()));
+		return stored ? Either.right(digest) : Either.left(new PlatformError(result.message()));
 	}
 
-	private static ApplyResult failed(PlatformError error) {
+	private static ApplyResult notApplied(PlatformError error) {
 		return new ApplyResult(ApplyResult.Status.NOT_APPLIED, 0,
 				List.of("nothing was changed; the platform's service: " + error.message()));
 	}
 
-	private static void pause() {
+	private static void sleepBeforeRetry() {
 		try {
-			Thread.sleep(PAUSE_MS);
+			Thread.sleep(RETRY_DELAY_MS);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/ctl/src/main/java/org/tallycart/ctl/DeclarationDirectory.java
+++ b/ctl/src/main/java/org/tallycart/ctl/DeclarationDirectory.java
@@ -18,10 +18,11 @@
 import org.tallycart.policy.CelPolicyCompiler;
 
 /**
- * A directory of declarations: every {@code .ini} file in it and below.
+ * Reads and checks a directory of declarations: every {@code .ini} file in it and its
+ * subdirectories. The file {@code .tallycart-base} in it holds the version that its
+ * content is based on.
  * <p>
- * Thread-safe: holds no state. The file {@code .tallycart-base} in it names the version
- * that its content began from.
+ * Thread-safe: holds no state.
  *
  * @since 0.1
  */
@@ -37,7 +38,7 @@
 	/**
 	 * Read and check all declarations.
 	 * @param directory the directory
-	 * @return canonical texts by section name, or everything that is wrong
+	 * @return canonical texts by section name, or all problems
 	 */
 	static Either<List<Problem>, SortedMap<String, String>> read(Path directory) {
 		List<Problem> problems = new ArrayList<>();
@@ -62,9 +63,9 @@
 	}
 
 	/**
-	 * Check a set of texts as a whole.
+	 * Check a set of declarations as a whole.
 	 * @param texts canonical texts by section name
-	 * @return what is wrong; empty if nothing is
+	 * @return the problems; empty if there are none
 	 */
 	static List<Problem> check(SortedMap<String, String> texts) {
 		List<Problem> problems = new ArrayList<>();
@@ -75,11 +76,11 @@
 	}
 
 	/**
-	 * Return the version that a directory's content began from.
+	 * Read the version that a directory's content is based on.
 	 * @param directory the directory
-	 * @return the version; 0 if it is not written down
+	 * @return the version; 0 if the file is missing or is not a number
 	 */
-	static long baseVersion(Path directory) {
+	static long readBaseVersion(Path directory) {
 		try {
 			return Long.parseLong(Files.readString(directory.resolve(BASE_FILE)).strip());
 		}
@@ -89,12 +90,12 @@
 	}
 
 	/**
-	 * Write down the version that a directory's content now equals.
+	 * Write the version that a directory's content is based on.
 	 * @param directory the directory
 	 * @param version the version
-	 * @return whether it could be written
+	 * @return false if the file could not be written
 	 */
-	static boolean baseVersion(Path directory, long version) {
+	static boolean writeBaseVersion(Path directory, long version) {
 		try {
 			Files.writeString(directory.resolve(BASE_FILE), version + "\n");
 			return true;
--- a/ctl/src/main/java/org/tallycart/ctl/FleetOptions.java
+++ b/ctl/src/main/java/org/tallycart/ctl/FleetOptions.java
@@ -17,7 +17,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Options that most commands share: where the platform's service and the fleet are.
+ * Options shared by most commands: the addresses of the platform's service and of the
+ * fleet's processes.
  * <p>
  * Not thread-safe.
  *
@@ -29,7 +30,7 @@
 
 	private static final long TIMEOUT_MS = 2_000;
 
-	private static final String CALLER = "tallyctl";
+	private static final String CALLER_NAME = "tallyctl";
 
 	@Option(names = "--platform", paramLabel = "HOST:PORT", defaultValue = "${TALLYCART_PLATFORM:-127.0.0.1:7400}",
 			description = "The platform's service; also from TALLYCART_PLATFORM. Default: ${DEFAULT-VALUE}")
@@ -46,15 +47,15 @@
 	FleetOptions() {
 	}
 
-	ConfigStore config() {
-		return new ConfigStore(HttpObjectStore.create(address(this.platform), TIMEOUT_MS, CALLER));
+	ConfigStore configStore() {
+		return new ConfigStore(HttpObjectStore.create(parseAddress(this.platform), TIMEOUT_MS, CALLER_NAME));
 	}
 
-	List<Address> fleet() {
-		return this.fleet.stream().filter((text) -> !text.isBlank()).map(this::address).toList();
+	List<Address> statusAddresses() {
+		return this.fleet.stream().filter((text) -> !text.isBlank()).map(this::parseAddress).toList();
 	}
 
-	private Address address(String text) {
+	private Address parseAddress(String text) {
 		Either<String, Address> parsed = Address.parse(text);
 		if (parsed.isLeft()) {
 			throw new ParameterException(this.spec.commandLine(), "'" + text + "' " + parsed.getLeft());
@@ -62,20 +63,20 @@
 		return parsed.get();
 	}
 
-	static Either<String, JsonNode> get(Address address, String path) {
+	static Either<String, JsonNode> getJson(Address address, String path) {
 		return HttpConnection.connect(address, TIMEOUT_MS).flatMap((connection) -> {
 			try (connection) {
 				return connection.call(HttpCall.get(path).build(), TIMEOUT_MS);
 			}
-		}).mapLeft((failure) -> failure.message()).flatMap(FleetOptions::parse);
+		}).mapLeft((failure) -> failure.message()).flatMap(FleetOptions::parseJson);
 	}
 
-	private static Either<String, JsonNode> parse(HttpReply reply) {
+	private static Either<String, JsonNode> parseJson(HttpReply reply) {
 		try {
 			return Either.right(JSON.readTree(reply.body()));
 		}
 		catch (IOException ex) {
-			return Either.left("not JSON: " + ex.getMessage());
+			return Either.left("the reply is not JSON: " + ex.getMessage());
 		}
 	}
 
--- a/ctl/src/main/java/org/tallycart/ctl/HistoryCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/HistoryCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 
 /**
- * Lists accepted changes.
+ * Lists the accepted changes, newest first.
  * <p>
  * Not thread-safe.
  *
@@ -36,7 +36,7 @@
 
 	@Override
 	public Integer call() {
-		Either<PlatformError, ConfigHead> head = this.fleet.config().head();
+		Either<PlatformError, ConfigHead> head = this.fleet.configStore().readHead();
 		if (head.isLeft()) {
 			System.err.println(head.getLeft().message());
 			return ExitCode.FAILED;
@@ -45,28 +45,28 @@
 			.manifest()
 			.history()
 			.stream()
-			.filter((known) -> this.change.isEmpty() || known.id().equals(this.change))
+			.filter((entry) -> this.change.isEmpty() || entry.id().equals(this.change))
 			.toList();
-		if (this.output.json()) {
-			print(changes);
+		if (this.output.isJson()) {
+			printJson(changes);
 		}
 		else {
-			changes.forEach((known) -> System.out.println(known.version() + "  " + known.id() + "  " + known.author()
-					+ "  " + String.join(", ", known.sections())));
+			changes.forEach((entry) -> System.out.println(entry.version() + "  " + entry.id() + "  " + entry.author()
+					+ "  " + String.join(", ", entry.sections())));
 		}
 		return (!this.change.isEmpty() && changes.isEmpty()) ? ExitCode.FAILED : ExitCode.OK;
 	}
 
-	private void print(List<ManifestChange> changes) {
+	private void printJson(List<ManifestChange> changes) {
 		ArrayNode array = new ObjectMapper().createArrayNode();
-		for (ManifestChange known : changes) {
+		for (ManifestChange entry : changes) {
 			ObjectNode node = array.addObject()
-				.put("version", known.version())
-				.put("change", known.id())
-				.put("author", known.author());
-			known.sections().forEach(node.putArray("sections")::add);
+				.put("version", entry.version())
+				.put("change", entry.id())
+				.put("author", entry.author());
+			entry.sections().forEach(node.putArray("sections")::add);
 		}
-		this.output.print(array);
+		this.output.printJson(array);
 	}
 
 }
--- a/ctl/src/main/java/org/tallycart/ctl/OutputOptions.java
+++ b/ctl/src/main/java/org/tallycart/ctl/OutputOptions.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 
 /**
- * How a command's result is printed.
+ * Option for the output format, and printing in that format.
  * <p>
  * Not thread-safe.
  *
@@ -22,21 +22,21 @@
 			description = "text or json. Default: ${DEFAULT-VALUE}")
 	private Format format = Format.TEXT;
 
-	boolean json() {
+	boolean isJson() {
 		return this.format == Format.JSON;
 	}
 
-	void print(JsonNode node) {
+	void printJson(JsonNode node) {
 		System.out.println(node.toPrettyString());
 	}
 
-	int result(ApplyResult result, int exitCode) {
-		if (json()) {
+	int printResult(ApplyResult result, int exitCode) {
+		if (isJson()) {
 			ObjectNode node = JSON.createObjectNode()
 				.put("status", result.status().name())
 				.put("version", result.version());
 			result.lines().forEach(node.putArray("lines")::add);
-			print(node);
+			printJson(node);
 		}
 		else {
 			System.out.println(result.status().name().toLowerCase(Locale.ROOT).replace('_', ' '));
@@ -45,12 +45,12 @@
 		return exitCode;
 	}
 
-	/** Forms of output. */
+	/** Output formats. */
 	enum Format {
 
-		/** For people. */
+		/** Plain text. */
 		TEXT,
-		/** For scripts. */
+		/** JSON, for scripts. */
 		JSON
 
 	}
--- a/ctl/src/main/java/org/tallycart/ctl/PlanCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/PlanCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Shows what an apply would change.
+ * Prints the changes that an apply would make.
  * <p>
  * Not thread-safe.
  *
@@ -44,22 +44,22 @@
 			mine.getLeft().forEach((problem) -> System.err.println(problem));
 			return ExitCode.REFUSED;
 		}
-		ConfigStore store = this.fleet.config();
-		long version = (this.base >= 0) ? this.base : DeclarationDirectory.baseVersion(this.directory);
-		Either<PlatformError, ConfigHead> head = store.head();
+		ConfigStore store = this.fleet.configStore();
+		long version = (this.base >= 0) ? this.base : DeclarationDirectory.readBaseVersion(this.directory);
+		Either<PlatformError, ConfigHead> head = store.readHead();
 		Either<PlatformError, SortedMap<String, String>> theirs = head
-			.flatMap((known) -> store.sections(known.manifest().parts()));
-		Either<PlatformError, SortedMap<String, String>> began = head
-			.flatMap((known) -> store.sectionsOf(known, version));
-		if (theirs.isLeft() || began.isLeft()) {
-			System.err.println((theirs.isLeft() ? theirs : began).getLeft().message());
+			.flatMap((stored) -> store.readSections(stored.manifest().parts()));
+		Either<PlatformError, SortedMap<String, String>> baseSections = head
+			.flatMap((stored) -> store.readVersion(stored, version));
+		if (theirs.isLeft() || baseSections.isLeft()) {
+			System.err.println((theirs.isLeft() ? theirs : baseSections).getLeft().message());
 			return ExitCode.FAILED;
 		}
-		return show(ThreeWayMerge.merge(began.get(), mine.get(), theirs.get()), theirs.get(),
+		return printPlan(ThreeWayMerge.merge(baseSections.get(), mine.get(), theirs.get()), theirs.get(),
 				head.get().manifest().version());
 	}
 
-	private static int show(Either<List<MergeConflict>, SortedMap<String, String>> merged,
+	private static int printPlan(Either<List<MergeConflict>, SortedMap<String, String>> merged,
 			SortedMap<String, String> theirs, long version) {
 		if (merged.isLeft()) {
 			merged.getLeft().forEach((conflict) -> System.out.println("conflict [" + conflict.section() + "]"));
@@ -69,13 +69,13 @@
 		System.out
 			.println("version " + version + " -> " + (version + 1) + ": " + changed.size() + " declarations change");
 		for (String section : changed) {
-			lines(theirs.getOrDefault(section, ""), merged.get().getOrDefault(section, ""))
+			diffLines(theirs.getOrDefault(section, ""), merged.get().getOrDefault(section, ""))
 				.forEach(System.out::println);
 		}
 		return ExitCode.OK;
 	}
 
-	private static List<String> lines(String before, String after) {
+	private static List<String> diffLines(String before, String after) {
 		List<String> old = before.lines().toList();
 		List<String> now = after.lines().toList();
 		return Stream
--- a/ctl/src/main/java/org/tallycart/ctl/PolicyCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/PolicyCommand.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * Commands on policies.
+ * Parent of the commands on policies.
  * <p>
  * Not thread-safe.
  *
--- a/ctl/src/main/java/org/tallycart/ctl/PolicyTestCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/PolicyTestCommand.java
@@ -25,8 +25,9 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Tries a candidate policy on the requests that the fleet's entries have recorded: its
- * rules admit and priority, since place and shed depend on load at the moment.
+ * Evaluates a candidate policy against the requests that the fleet's entries recorded.
+ * Only the rules admit and priority are evaluated, as place and shed depend on the
+ * current load.
  * <p>
  * Not thread-safe.
  *
@@ -36,7 +37,7 @@
 		description = "Show which recorded requests a candidate policy would decide otherwise.")
 final class PolicyTestCommand implements Callable<Integer> {
 
-	private static final int EXAMPLES = 10;
+	private static final int MAX_EXAMPLES = 10;
 
 	@Parameters(paramLabel = "DIR", description = "The directory of declarations that holds the candidate.")
 	private Path directory = Path.of(".");
@@ -60,13 +61,13 @@
 		}
 		PolicySource source = declarations(texts.get()).policies().get(this.policy);
 		if (source == null) {
-			System.err.println("no policy " + this.policy + " in " + this.directory);
+			System.err.println("policy '" + this.policy + "' is not declared in " + this.directory);
 			return ExitCode.USAGE;
 		}
 		List<String> failures = new ArrayList<>();
 		Policy candidate = CelPolicyCompiler.create()
 			.compile(source, (id, rule, message) -> failures.add(rule + ": " + message));
-		compare(candidate, recorded());
+		compare(candidate, fetchRecorded());
 		failures.stream().distinct().forEach((failure) -> System.out.println("  rule failed: " + failure));
 		return failures.isEmpty() ? ExitCode.OK : ExitCode.FAILED;
 	}
@@ -77,10 +78,10 @@
 		return DeclarationReader.read(sections, (section, source) -> List.of()).getOrElse(Declarations.EMPTY);
 	}
 
-	private List<RecordedDecision> recorded() {
+	private List<RecordedDecision> fetchRecorded() {
 		List<RecordedDecision> recorded = new ArrayList<>();
-		for (Address address : this.fleet.fleet()) {
-			Either<String, JsonNode> events = FleetOptions.get(address, "/events");
+		for (Address address : this.fleet.statusAddresses()) {
+			Either<String, JsonNode> events = FleetOptions.getJson(address, "/events");
 			events.peekLeft((error) -> System.err.println(address + " unreachable: " + error));
 			events.forEach((array) -> array.forEach((event) -> {
 				if (event.path("name").asText().equals("REQUEST_ARRIVED")) {
@@ -99,7 +100,7 @@
 			long priority = candidate.priority(decision.facts());
 			boolean differs = !admits || priority != decision.priority();
 			changed += differs ? 1 : 0;
-			if (differs && changed <= EXAMPLES) {
+			if (differs && changed <= MAX_EXAMPLES) {
 				System.out.println("  " + decision.encode() + " -> " + (admits ? "priority=" + priority : "refused"));
 			}
 		}
--- a/ctl/src/main/java/org/tallycart/ctl/ShowCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/ShowCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Prints the declarations that were accepted.
+ * Prints the declarations of an accepted version.
  * <p>
  * Not thread-safe.
  *
@@ -34,9 +34,9 @@
 
 	@Override
 	public Integer call() {
-		ConfigStore store = this.fleet.config();
-		Either<PlatformError, SortedMap<String, String>> sections = store.head()
-			.flatMap((head) -> store.sectionsOf(head, (this.version >= 0) ? this.version : head.manifest().version()));
+		ConfigStore store = this.fleet.configStore();
+		Either<PlatformError, SortedMap<String, String>> sections = store.readHead()
+			.flatMap((head) -> store.readVersion(head, (this.version >= 0) ? this.version : head.manifest().version()));
 		if (sections.isLeft()) {
 			System.err.println(sections.getLeft().message());
 			return ExitCode.FAILED;
--- a/ctl/src/main/java/org/tallycart/ctl/StatusCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/StatusCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Mixin;
 
 /**
- * Prints the status of every process of the fleet.
+ * Prints the status of every process named by {@code --fleet}.
  * <p>
  * Not thread-safe.
  *
@@ -30,19 +30,19 @@
 	@Override
 	public Integer call() {
 		ArrayNode all = new ObjectMapper().createArrayNode();
-		boolean reached = true;
-		for (Address address : this.fleet.fleet()) {
-			Either<String, JsonNode> status = FleetOptions.get(address, "/status");
-			reached &= status.isRight();
-			if (!this.output.json()) {
+		boolean allReached = true;
+		for (Address address : this.fleet.statusAddresses()) {
+			Either<String, JsonNode> status = FleetOptions.getJson(address, "/status");
+			allReached &= status.isRight();
+			if (!this.output.isJson()) {
 				System.out.println(address + " " + status.fold((error) -> "unreachable: " + error, JsonNode::toString));
 			}
 			all.addObject().put("address", address.toString()).set("status", status.getOrElse(all.nullNode()));
 		}
-		if (this.output.json()) {
-			this.output.print(all);
+		if (this.output.isJson()) {
+			this.output.printJson(all);
 		}
-		return reached ? ExitCode.OK : ExitCode.FAILED;
+		return allReached ? ExitCode.OK : ExitCode.FAILED;
 	}
 
 }
--- a/ctl/src/main/java/org/tallycart/ctl/TallyctlMain.java
+++ b/ctl/src/main/java/org/tallycart/ctl/TallyctlMain.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * The program {@code tallyctl}.
+ * Main class of the program {@code tallyctl}.
  * <p>
  * Not thread-safe: used by the main thread.
  *
@@ -32,7 +32,7 @@
 	}
 
 	/**
-	 * Run a command without ending the process.
+	 * Run a command without exiting the process.
 	 * @param args the command line
 	 * @return the exit code
 	 */
--- a/ctl/src/main/java/org/tallycart/ctl/TimelineCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/TimelineCommand.java
@@ -16,8 +16,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * Merges the events of all processes into one time line, in hybrid logical time, so that
- * no event stands before its cause.
+ * Merges the events of all processes into one timeline, ordered by hybrid logical time,
+ * so that no event precedes its cause.
  * <p>
  * Not thread-safe.
  *
@@ -42,24 +42,24 @@
 	@Override
 	public Integer call() {
 		List<JsonNode> events = new ArrayList<>();
-		boolean reached = true;
-		for (Address address : this.fleet.fleet()) {
-			Either<String, JsonNode> part = FleetOptions.get(address, "/events?request=" + this.request);
-			reached &= part.isRight();
-			part.peekLeft((error) -> System.err.println(address + " unreachable: " + error));
-			part.peek((array) -> array.forEach(events::add));
+		boolean allReached = true;
+		for (Address address : this.fleet.statusAddresses()) {
+			Either<String, JsonNode> reply = FleetOptions.getJson(address, "/events?request=" + this.request);
+			allReached &= reply.isRight();
+			reply.peekLeft((error) -> System.err.println(address + " unreachable: " + error));
+			reply.peek((array) -> array.forEach(events::add));
 		}
 		events.sort(Comparator.comparingLong((JsonNode event) -> event.path("ms").asLong())
 			.thenComparingInt((event) -> event.path("logical").asInt())
 			.thenComparing((event) -> event.path("process").asText()));
 		print(events.subList(Math.max(events.size() - this.last, 0), events.size()));
-		return reached ? ExitCode.OK : ExitCode.FAILED;
+		return allReached ? ExitCode.OK : ExitCode.FAILED;
 	}
 
 	private void print(List<JsonNode> events) {
-		if (this.output.json()) {
+		if (this.output.isJson()) {
 			ArrayNode array = new ObjectMapper().createArrayNode();
-			this.output.print(array.addAll(events));
+			this.output.printJson(array.addAll(events));
 			return;
 		}
 		for (JsonNode event : events) {
--- a/ctl/src/main/java/org/tallycart/ctl/ValidateCommand.java
+++ b/ctl/src/main/java/org/tallycart/ctl/ValidateCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Checks declarations without touching anything.
+ * Checks a directory of declarations without changing anything.
  * <p>
  * Not thread-safe.
  *
@@ -31,7 +31,7 @@
 			read.getLeft().forEach((problem) -> System.err.println(problem));
 			return ExitCode.REFUSED;
 		}
-		System.out.println(read.get().size() + " declarations are good");
+		System.out.println(read.get().size() + " declarations are valid");
 		return ExitCode.OK;
 	}
 
