--- a/steward/src/main/java/org/tallycart/steward/FleetState.java
+++ b/steward/src/main/java/org/tallycart/steward/FleetState.java
@@ -92,6 +92,7 @@
 		return result == VersionedRegister.OfferResult.APPLIED;
 	}
 
+	// Keeps a configuration with missing parts as pending.
 	private boolean isApplicable(String name, long version, byte[] value) {
 		if (!name.equals(RegisterName.CONFIG)) {
 			return true;
