--- a/entry/src/main/java/org/tallycart/entry/CallerHandler.java
+++ b/entry/src/main/java/org/tallycart/entry/CallerHandler.java
@@ -26,7 +26,7 @@
 import org.tallycart.runtime.process.TaskFailureHandler;
 
 /**
- * Answers callers over HTTP.
+ * Handles callers' HTTP requests.
  * <p>
  * Thread-safe.
  *
@@ -52,15 +52,15 @@
 
 	private static final int GATEWAY_TIMEOUT = 504;
 
-	private static final long MILLIS = 1_000;
+	private static final long MILLIS_PER_SECOND = 1_000;
 
 	private final RequestRunner runner;
 
-	private final TaskFailureHandler guard;
+	private final TaskFailureHandler failureHandler;
 
-	CallerHandler(RequestRunner runner, TaskFailureHandler guard) {
+	CallerHandler(RequestRunner runner, TaskFailureHandler failureHandler) {
 		this.runner = runner;
-		this.guard = guard;
+		this.failureHandler = failureHandler;
 	}
 
 	@Override
@@ -69,22 +69,22 @@
 		try {
 			Either<List<String>, CallerRequest> parsed = CallerRequestReader.read(request);
 			if (parsed.isLeft()) {
-				RequestResult ending = RequestResult.of(Outcome.NOT_RUN, Reason.BAD_REQUEST,
+				RequestResult result = RequestResult.of(Outcome.NOT_RUN, Reason.BAD_REQUEST,
 						String.join("; ", parsed.getLeft()));
-				answer(response, new CallerResponse("", ending, "", 0, -1, 0, Map.of()));
+				writeResponse(response, new CallerResponse("", result, "", 0, -1, 0, Map.of()));
 				return;
 			}
 			run(parsed.get(), response);
 		}
 		catch (InvariantViolation ex) {
-			this.guard.onError("request", ex);
+			this.failureHandler.onError("request", ex);
 		}
 	}
 
 	private void run(CallerRequest request, ClassicHttpResponse response) {
 		RequestRunner.Run run = this.runner.begin(request);
-		if (run.storedAnswer().isPresent()) {
-			stored(response, run.storedAnswer().get());
+		if (run.storedResponse().isPresent()) {
+			writeStoredResponse(response, run.storedResponse().get());
 			return;
 		}
 		if (request.stream() && run.willStream()) {
@@ -93,30 +93,30 @@
 			response.setEntity(new EntityTemplate(-1, ContentType.TEXT_EVENT_STREAM, null, (out) -> stream(run, out)));
 			return;
 		}
-		answer(response, run.finish((piece) -> {
-			// The whole text is answered at the end.
+		writeResponse(response, run.finish((piece) -> {
+			// The response contains the whole text.
 		}));
 	}
 
 	private void stream(RequestRunner.Run run, OutputStream out) throws IOException {
 		try {
-			CallerResponse answer = run
-				.finish((piece) -> event(out, "", JSON.writeValueAsBytes(JSON.createObjectNode().put("text", piece))));
-			event(out, "event: end\n", answer.toJson(false));
+			CallerResponse callerResponse = run.finish(
+					(piece) -> writeEvent(out, "", JSON.writeValueAsBytes(JSON.createObjectNode().put("text", piece))));
+			writeEvent(out, "event: end\n", callerResponse.toJson(false));
 		}
 		catch (InvariantViolation ex) {
-			this.guard.onError("request", ex);
+			this.failureHandler.onError("request", ex);
 		}
 	}
 
-	private static void event(OutputStream out, String head, byte[] data) throws IOException {
+	private static void writeEvent(OutputStream out, String head, byte[] data) throws IOException {
 		out.write((head + "data: ").getBytes(StandardCharsets.UTF_8));
 		out.write(data);
 		out.write("\n\n".getBytes(StandardCharsets.UTF_8));
 		out.flush();
 	}
 
-	private static void stored(ClassicHttpResponse response, byte[] json) {
+	private static void writeStoredResponse(ClassicHttpResponse response, byte[] json) {
 		try {
 			String outcome = JSON.readTree(json).path("outcome").asText();
 			response.setCode(outcome.equals(Outcome.COMPLETE.name()) ? OK : SERVER_ERROR);
@@ -129,25 +129,26 @@
 		response.setEntity(new ByteArrayEntity(json, ContentType.APPLICATION_JSON));
 	}
 
-	private static void answer(ClassicHttpResponse response, CallerResponse answer) {
-		RequestResult ending = answer.ending();
-		response.setCode(status(ending));
-		response.setHeader(CallerFields.REQUEST_ID, answer.requestId());
-		response.setHeader(CallerFields.OUTCOME, ending.outcome().name());
-		response.setHeader(CallerFields.REASON, ending.reason().name());
-		if (ending.retryAfterMs() > 0) {
-			response.setHeader(CallerFields.RETRY_AFTER_MS, String.valueOf(ending.retryAfterMs()));
-			response.setHeader("Retry-After", String.valueOf((ending.retryAfterMs() + MILLIS - 1) / MILLIS));
+	private static void writeResponse(ClassicHttpResponse response, CallerResponse callerResponse) {
+		RequestResult result = callerResponse.result();
+		response.setCode(status(result));
+		response.setHeader(CallerFields.REQUEST_ID, callerResponse.requestId());
+		response.setHeader(CallerFields.OUTCOME, result.outcome().name());
+		response.setHeader(CallerFields.REASON, result.reason().name());
+		if (result.retryAfterMs() > 0) {
+			response.setHeader(CallerFields.RETRY_AFTER_MS, String.valueOf(result.retryAfterMs()));
+			response.setHeader("Retry-After",
+					String.valueOf((result.retryAfterMs() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND));
 		}
-		response.setEntity(new ByteArrayEntity(answer.toJson(true), ContentType.APPLICATION_JSON));
+		response.setEntity(new ByteArrayEntity(callerResponse.toJson(true), ContentType.APPLICATION_JSON));
 	}
 
-	private static int status(RequestResult ending) {
-		return switch (ending.outcome()) {
+	private static int status(RequestResult result) {
+		return switch (result.outcome()) {
 			case COMPLETE -> OK;
 			case UNKNOWN -> SERVER_ERROR;
-			case FAILED -> (ending.reason() == Reason.DEADLINE) ? GATEWAY_TIMEOUT : BAD_GATEWAY;
-			case NOT_RUN -> switch (ending.reason()) {
+			case FAILED -> (result.reason() == Reason.DEADLINE) ? GATEWAY_TIMEOUT : BAD_GATEWAY;
+			case NOT_RUN -> switch (result.reason()) {
 				case BAD_REQUEST, BAD_KEY, KEY_EXPIRED, KEY_FROM_FUTURE, KEY_BEFORE_TAKEOVER -> BAD_REQUEST;
 				case NOT_DECLARED -> NOT_FOUND;
 				case WORKSPACE_LIMIT, SHED, QUEUE_FULL, POLICY_REFUSED -> TOO_MANY_REQUESTS;
--- a/entry/src/main/java/org/tallycart/entry/Entry.java
+++ b/entry/src/main/java/org/tallycart/entry/Entry.java
@@ -34,7 +34,7 @@
 import org.tallycart.wire.WireTransport;
 
 /**
- * The running entry: puts the parts together, starts and stops them.
+ * Entry daemon: creates, starts and stops the components of the process.
  * <p>
  * Thread-safe.
  *
@@ -42,17 +42,17 @@
  */
 final class Entry implements Daemon {
 
-	private static final int EVENTS_KEPT = 50_000;
+	private static final int MAX_EVENTS = 50_000;
 
-	private static final int IDLE_CONNECTIONS = 8;
+	private static final int MAX_IDLE_CONNECTIONS = 8;
 
-	private static final long LINK_TICK_MS = 250;
+	private static final long STEWARD_CHECK_INTERVAL_MS = 250;
 
-	private static final long LIMITS_TICK_MS = 500;
+	private static final long DEMAND_REPORT_INTERVAL_MS = 500;
 
-	private static final double RETRIES_AT_START = 5;
+	private static final double INITIAL_RETRIES = 5;
 
-	private static final double RETRIES_SAVED = 20;
+	private static final double MAX_SAVED_RETRIES = 20;
 
 	private static final int ATTEMPTS_PER_CONNECTION = 2;
 
@@ -64,23 +64,23 @@
 
 	private final EventLog events;
 
-	private final TaskFailureHandler guard;
+	private final TaskFailureHandler failureHandler;
 
 	private final MetricRegistry metrics = new MetricRegistry();
 
 	private final WireTransport transport;
 
-	private final StewardClient link;
+	private final StewardClient steward;
 
 	private final UpstreamTable table;
 
 	private final LoadPoller poller;
 
-	private final HttpConnectionPool pool = HttpConnectionPool.create(IDLE_CONNECTIONS);
+	private final HttpConnectionPool pool = HttpConnectionPool.create(MAX_IDLE_CONNECTIONS);
 
-	private final ThreadPoolExecutor attempts;
+	private final ThreadPoolExecutor attemptExecutor;
 
-	private final WorkspaceLimiter limits = new WorkspaceLimiter();
+	private final WorkspaceLimiter limiter = new WorkspaceLimiter();
 
 	private final RequestRunner runner;
 
@@ -101,80 +101,84 @@
 		this.settings = settings;
 		String vm = settings.vm().id();
 		HybridClock clock = new HybridClock();
-		this.events = EventLog.create("entry@" + vm, EVENTS_KEPT, clock, Clocks.SYSTEM);
-		this.guard = TaskFailureHandler.install(this.events::emit);
+		this.events = EventLog.create("entry@" + vm, MAX_EVENTS, clock, Clocks.SYSTEM);
+		this.failureHandler = TaskFailureHandler.install(this.events::emit);
 		this.transport = WireTransport
 			.create(new WireIdentity(vm, Clocks.SYSTEM.wallMs(), clock, Clocks.SYSTEM::wallMs));
 		this.table = UpstreamTable.create(vm, settings.vm().domain(), settings.subset());
-		this.link = StewardClient.create(this.transport, settings.steward(), this.events, this.guard, this::adopt);
-		UpstreamRouter routing = UpstreamRouter.create(this.table, this.events, this.link::reportDraining);
-		this.poller = LoadPoller.create(this.table, routing, this.guard);
-		this.attempts = new ThreadPoolExecutor(0, settings.maxConnections() * ATTEMPTS_PER_CONNECTION,
+		this.steward = StewardClient.create(this.transport, settings.steward(), this.events, this.failureHandler,
+				this::onState);
+		UpstreamRouter router = UpstreamRouter.create(this.table, this.events, this.steward::reportDraining);
+		this.poller = LoadPoller.create(this.table, router, this.failureHandler);
+		this.attemptExecutor = new ThreadPoolExecutor(0, settings.maxConnections() * ATTEMPTS_PER_CONNECTION,
 				IDLE_THREAD_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), (task) -> {
 					Thread thread = new Thread(task, "attempt");
 					thread.setDaemon(true);
 					return thread;
 				});
-		StageContext tools = new StageContext(routing, new StageLatencyEstimator(), this.pool,
-				RetryBudget.create(settings.retryShare(), RETRIES_AT_START, RETRIES_SAVED), this.events, this.attempts);
-		ClaimClient claims = ClaimClient.create(vm, this.transport, this.link::state, settings.window(), this.events);
-		this.runner = new RequestRunner(this.link::state, StageRunner.create(tools, settings.overcommit()), claims,
-				this.limits, this.events, this.metrics);
+		StageContext stageContext = new StageContext(router, new StageLatencyEstimator(), this.pool,
+				RetryBudget.create(settings.retryShare(), INITIAL_RETRIES, MAX_SAVED_RETRIES), this.events,
+				this.attemptExecutor);
+		ClaimClient claims = ClaimClient.create(vm, this.transport, this.steward::state, settings.window(),
+				this.events);
+		this.runner = new RequestRunner(this.steward::state, StageRunner.create(stageContext, settings.overcommit()),
+				claims, this.limiter, this.events, this.metrics);
 	}
 
 	static Either<String, Daemon> start(EntrySettings settings) {
 		Entry entry = new Entry(settings);
 		return BlockingHttpServer
-			.start(settings.listen(), "caller", settings.maxConnections(), new CallerHandler(entry.runner, entry.guard))
+			.start(settings.listen(), "caller", settings.maxConnections(),
+					new CallerHandler(entry.runner, entry.failureHandler))
 			.flatMap((callers) -> {
 				entry.callers = callers;
-				return StatusServer.start(settings.statusListen(), entry.events, entry.metrics, entry::ready,
+				return StatusServer.start(settings.statusListen(), entry.events, entry.metrics, entry::isReady,
 						entry::statusJson);
 			})
 			.map((status) -> {
 				entry.status = status;
-				entry.begin();
+				entry.startTasks();
 				return entry;
 			});
 	}
 
-	private void begin() {
+	private void startTasks() {
 		this.metrics.register("callers.connections", (Gauge<Integer>) this.callers::openCount);
-		every(LINK_TICK_MS, "steward link", this.link::ensureConnected);
-		every(this.settings.pollMs(), "load reports", this.poller::pollAll);
-		every(LIMITS_TICK_MS, "limits", () -> this.limits.reportDemand(this.link));
+		schedule(STEWARD_CHECK_INTERVAL_MS, "steward link", this.steward::ensureConnected);
+		schedule(this.settings.pollMs(), "load reports", this.poller::pollAll);
+		schedule(DEMAND_REPORT_INTERVAL_MS, "limits", () -> this.limiter.reportDemand(this.steward));
 		this.events.emit(EventCode.PROCESS_STARTED, listeningPorts());
 	}
 
-	private void every(long intervalMs, String name, Runnable task) {
-		this.ticker.scheduleWithFixedDelay(this.guard.wrap(name, task), 0, intervalMs, TimeUnit.MILLISECONDS);
+	private void schedule(long intervalMs, String name, Runnable task) {
+		this.ticker.scheduleWithFixedDelay(this.failureHandler.wrap(name, task), 0, intervalMs, TimeUnit.MILLISECONDS);
 	}
 
-	private void adopt(EntryState state) {
+	private void onState(EntryState state) {
 		this.table.update(state.declarations().services().values());
-		state.leaving().forEach((upstream) -> {
+		state.draining().forEach((upstream) -> {
 			if (this.table.markDraining(upstream)) {
 				this.events.emit(EventCode.UPSTREAM_LEAVING, upstream + " by the steward");
 			}
 		});
 	}
 
-	private boolean ready() {
-		return !this.draining && this.link.state().configVersion() > 0;
+	private boolean isReady() {
+		return !this.draining && this.steward.state().configVersion() > 0;
 	}
 
 	private ObjectNode statusJson() {
-		EntryState state = this.link.state();
+		EntryState state = this.steward.state();
 		return JSON.createObjectNode()
 			.put("vm", this.settings.vm().id())
 			.put("domain", this.settings.vm().domain())
-			.put("ready", ready())
+			.put("ready", isReady())
 			.put("draining", this.draining)
 			.put("config_version", state.configVersion())
 			.put("slots_version", state.slotsVersion())
 			.put("vms_version", state.vms().version())
 			.put("active_vms", state.activeVms())
-			.put("steward_connected", this.link.isConnected())
+			.put("steward_connected", this.steward.isConnected())
 			.put("connections", this.callers.openCount());
 	}
 
@@ -194,14 +198,14 @@
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
 		}
-		boolean clean = this.callers.drain(this.settings.drainMs());
-		this.events.emit(EventCode.DRAIN_ENDED, "clean=" + clean);
+		boolean drained = this.callers.drain(this.settings.drainMs());
+		this.events.emit(EventCode.DRAIN_ENDED, "clean=" + drained);
 		this.callers.close();
 		this.ticker.shutdownNow();
 		this.poller.close();
-		this.attempts.shutdownNow();
+		this.attemptExecutor.shutdownNow();
 		this.pool.close();
-		this.link.close();
+		this.steward.close();
 		this.status.close();
 		this.transport.close();
 	}
--- a/entry/src/main/java/org/tallycart/entry/EntryMain.java
+++ b/entry/src/main/java/org/tallycart/entry/EntryMain.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * The program {@code tallycart-entry}.
+ * Main class of {@code tallycart-entry}.
  * <p>
  * Not thread-safe: used by the main thread.
  *
@@ -21,7 +21,7 @@
 
 	/**
 	 * Run the program.
-	 * @param args the command line
+	 * @param args the command-line arguments
 	 */
 	public static void main(String[] args) {
 		System.exit(execute(new EntryMain(), args));
--- a/entry/src/main/java/org/tallycart/entry/RequestRunner.java
+++ b/entry/src/main/java/org/tallycart/entry/RequestRunner.java
@@ -32,17 +32,17 @@
 import org.tallycart.runtime.process.Clocks;
 
 /**
- * Takes one request from its arrival to its ending.
+ * Runs one request from its arrival to its result.
  * <p>
- * A request that may not be repeated claims its key first, before anything can refuse it:
- * only then is it known whether an earlier submission ran, and NOT_RUN can be told
- * truthfully. Thread-safe; each request runs on its own thread.
+ * A request that may not be repeated claims its key before anything can refuse it:
+ * without the claim an earlier submission may have run, and NOT_RUN could be false.
+ * Thread-safe; each request runs on its own thread.
  *
  * @since 0.1
  */
 final class RequestRunner {
 
-	private static final long COME_BACK_MS = 1_000;
+	private static final long RETRY_AFTER_MS = 1_000;
 
 	private final Supplier<EntryState> state;
 
@@ -50,54 +50,55 @@
 
 	private final ClaimClient claims;
 
-	private final WorkspaceLimiter limits;
+	private final WorkspaceLimiter limiter;
 
 	private final EventLog events;
 
 	private final MetricRegistry metrics;
 
-	RequestRunner(Supplier<EntryState> state, StageRunner stages, ClaimClient claims, WorkspaceLimiter limits,
+	RequestRunner(Supplier<EntryState> state, StageRunner stages, ClaimClient claims, WorkspaceLimiter limiter,
 			EventLog events, MetricRegistry metrics) {
 		this.state = state;
 		this.stages = stages;
 		this.claims = claims;
-		this.limits = limits;
+		this.limiter = limiter;
 		this.events = events;
 		this.metrics = metrics;
 	}
 
 	/**
-	 * Run a request up to the point where its answer begins.
+	 * Run a request up to the point where its response begins.
 	 * @param request the request
-	 * @return the run, which {@link Run#finish} must end
+	 * @return the run; the caller must call {@link Run#finish} unless a stored response
+	 * is present
 	 */
 	Run begin(CallerRequest request) {
 		long nowMs = Clocks.SYSTEM.monotonicMs();
-		EntryState known = this.state.get();
-		Pipeline pipeline = known.declarations().pipelines().get(request.pipeline());
-		Workspace workspace = known.declarations().workspaces().get(request.workspace());
+		EntryState current = this.state.get();
+		Pipeline pipeline = current.declarations().pipelines().get(request.pipeline());
+		Workspace workspace = current.declarations().workspaces().get(request.workspace());
 		if (pipeline == null || workspace == null) {
 			String what = (pipeline != null) ? "workspace " + request.workspace() : "pipeline " + request.pipeline();
-			boolean waits = known.configVersion() == 0;
-			RequestResult ending = new RequestResult(Outcome.NOT_RUN, waits ? Reason.NOT_READY : Reason.NOT_DECLARED,
-					what + " is not declared in version " + known.configVersion(), waits ? COME_BACK_MS : 0);
+			boolean notReady = current.configVersion() == 0;
+			RequestResult result = new RequestResult(Outcome.NOT_RUN, notReady ? Reason.NOT_READY : Reason.NOT_DECLARED,
+					what + " is not declared in version " + current.configVersion(), notReady ? RETRY_AFTER_MS : 0);
 			this.events.emit(EventCode.REQUEST_ARRIVED, request.id(), request.workspace() + " " + request.pipeline());
-			return new Run(request, nowMs, ending);
+			return new Run(request, nowMs, result);
 		}
 		long deadline = (request.deadlineMs() > 0) ? request.deadlineMs() : pipeline.deadlineMs();
-		Policy policy = known.policy(pipeline);
+		Policy policy = current.policy(pipeline);
 		RequestFacts facts = new RequestFacts(request.workspace(), request.pipeline(), request.label(),
 				request.repeatable(), deadline, request.maxTokens());
 		long priority = policy.priority(facts);
 		this.events.emit(EventCode.REQUEST_ARRIVED, request.id(), RecordedDecision.of(facts, priority).encode());
-		RequestContext context = new RequestContext(request, known, pipeline, workspace, policy, priority, nowMs,
+		RequestContext context = new RequestContext(request, current, pipeline, workspace, policy, priority, nowMs,
 				nowMs + deadline, AttemptTracker.create(request.id(), request.repeatable()), new CostMeter());
 		Run run = new Run(context);
 		run.prepare();
 		return run;
 	}
 
-	/** One request's run. Not thread-safe: confined to the request's thread. */
+	/** Run of one request. Not thread-safe: confined to the request's thread. */
 	final class Run {
 
 		private final CallerRequest request;
@@ -110,13 +111,13 @@
 
 		private boolean claimed;
 
-		private boolean entered;
+		private boolean permitHeld;
 
-		private Optional<byte[]> stored = Optional.empty();
+		private Optional<byte[]> storedResponse = Optional.empty();
 
 		private Optional<RequestResult> refusal;
 
-		private PipelineData data = PipelineData.begin("", 0, 0);
+		private PipelineData data = PipelineData.initial("", 0, 0);
 
 		private long firstTokenMs = -1;
 
@@ -125,7 +126,7 @@
 			this.submission = submissionId(request);
 			this.arrivedMs = arrivedMs;
 			this.context = Optional.empty();
-			this.refusal = Optional.of(unlessRunBefore(refusal));
+			this.refusal = Optional.of(correctOutcome(refusal));
 		}
 
 		private Run(RequestContext context) {
@@ -140,123 +141,124 @@
 			return new SubmissionId(request.id(), Generators.timeBasedEpochGenerator().generate().toString()).text();
 		}
 
-		private RequestResult unlessRunBefore(RequestResult ending) {
-			// Without a claim it is not known whether an earlier submission of the key
-			// ran.
+		private RequestResult correctOutcome(RequestResult result) {
+			// Without a claim, an earlier submission of the key may have run.
 			boolean uncertain = !this.request.repeatable() && !this.request.firstSubmission() && !this.claimed;
-			Outcome outcome = (uncertain && ending.outcome() == Outcome.NOT_RUN) ? Outcome.UNKNOWN : ending.outcome();
-			return new RequestResult(outcome, ending.reason(), ending.detail(), ending.retryAfterMs());
+			Outcome outcome = (uncertain && result.outcome() == Outcome.NOT_RUN) ? Outcome.UNKNOWN : result.outcome();
+			return new RequestResult(outcome, result.reason(), result.detail(), result.retryAfterMs());
 		}
 
 		private void prepare() {
-			RequestContext own = this.context.orElseThrow();
+			RequestContext requestContext = this.context.orElseThrow();
 			if (!this.request.repeatable()) {
-				claim(own);
+				claim(requestContext);
 			}
-			if (this.refusal.isEmpty() && this.stored.isEmpty()) {
-				this.refusal = admit(own);
+			if (this.refusal.isEmpty() && this.storedResponse.isEmpty()) {
+				this.refusal = admit(requestContext);
 			}
-			if (this.refusal.isEmpty() && this.stored.isEmpty()) {
-				Either<RequestResult, PipelineData> made = RequestRunner.this.stages.runUnaryStages(own);
-				made.peek((result) -> this.data = result);
-				made.peekLeft((ending) -> this.refusal = Optional.of(ending));
+			if (this.refusal.isEmpty() && this.storedResponse.isEmpty()) {
+				Either<RequestResult, PipelineData> outcome = RequestRunner.this.stages.runUnaryStages(requestContext);
+				outcome.peek((data) -> this.data = data);
+				outcome.peekLeft((result) -> this.refusal = Optional.of(result));
 			}
 		}
 
-		private void claim(RequestContext own) {
+		private void claim(RequestContext requestContext) {
 			ClaimDecision decision = RequestRunner.this.claims.claim(this.request.key().orElseThrow(), this.submission,
-					this.request.firstSubmission(), own.dueMs());
+					this.request.firstSubmission(), requestContext.dueMs());
 			this.claimed = decision.kind() == ClaimDecision.Kind.GRANTED;
-			this.stored = Optional.ofNullable(decision.storedAnswer());
+			this.storedResponse = Optional.ofNullable(decision.storedResponse());
 			this.refusal = Optional.ofNullable(decision.refusal());
 		}
 
-		private Optional<RequestResult> admit(RequestContext own) {
-			if (!own.policy().admit(own.facts())) {
-				return Optional
-					.of(RequestResult.of(Outcome.NOT_RUN, Reason.POLICY_REFUSED, "policy " + own.pipeline().policy()));
+		private Optional<RequestResult> admit(RequestContext requestContext) {
+			if (!requestContext.policy().admit(requestContext.facts())) {
+				return Optional.of(RequestResult.of(Outcome.NOT_RUN, Reason.POLICY_REFUSED,
+						"policy " + requestContext.pipeline().policy()));
 			}
-			this.entered = RequestRunner.this.limits.tryAcquire(own.workspace(), own.state());
-			if (!this.entered) {
+			this.permitHeld = RequestRunner.this.limiter.tryAcquire(requestContext.workspace(), requestContext.state());
+			if (!this.permitHeld) {
 				return Optional.of(new RequestResult(Outcome.NOT_RUN, Reason.WORKSPACE_LIMIT,
-						"workspace " + own.workspace().id() + " is over its limit",
-						RequestRunner.this.limits.retryAfterMs()));
+						"workspace " + requestContext.workspace().id() + " is over its limit",
+						RequestRunner.this.limiter.retryAfterMs()));
 			}
-			Either<RequestResult, RequestContext> admitted = RequestRunner.this.stages.admit(own);
-			return admitted.isLeft() ? Optional.of(admitted.getLeft()) : Optional.empty();
+			Either<RequestResult, RequestContext> decision = RequestRunner.this.stages.admit(requestContext);
+			return decision.isLeft() ? Optional.of(decision.getLeft()) : Optional.empty();
 		}
 
 		/**
-		 * Return whether the answer will come piece by piece.
-		 * @return true if the last stage generates and nothing has refused the request
+		 * Return whether the response is generated as a stream of text.
+		 * @return true if the last stage generates and the request was neither refused
+		 * nor answered
 		 */
 		boolean willStream() {
-			return this.refusal.isEmpty() && this.stored.isEmpty()
+			return this.refusal.isEmpty() && this.storedResponse.isEmpty()
 					&& this.context.filter(RequestRunner.this.stages::endsWithGeneration).isPresent();
 		}
 
 		/**
-		 * Return the answer of an earlier submission of the same key.
-		 * @return the answer, or empty
+		 * Return the response to an earlier submission of the same key.
+		 * @return the response as JSON, or empty
 		 */
-		Optional<byte[]> storedAnswer() {
-			return this.stored;
+		Optional<byte[]> storedResponse() {
+			return this.storedResponse;
 		}
 
 		/**
-		 * Run what is left and end the request.
-		 * @param sink takes generated text
-		 * @return the answer
+		 * Run the remaining stage and end the request.
+		 * @param sink receives generated text
+		 * @return the response
 		 */
 		CallerResponse finish(TextSink sink) {
 			Either<RequestResult, String> output = this.refusal.<Either<RequestResult, String>>map(Either::left)
 				.orElseGet(() -> willStream() ? generate(sink) : Either.right(this.data.output()));
-			RequestResult ending = end(output.isRight() ? RequestResult.complete() : output.getLeft());
-			this.context.filter((own) -> this.entered)
-				.ifPresent((own) -> RequestRunner.this.limits.release(own.workspace()));
-			boolean complete = ending.outcome() == Outcome.COMPLETE;
-			Map<String, Double> cost = this.context.map((own) -> own.cost().totals(complete)).orElse(Map.of());
-			CallerResponse answer = new CallerResponse(this.request.id(), ending, complete ? output.get() : "",
-					this.context.map((own) -> own.state().configVersion()).orElse(0L), this.firstTokenMs,
-					Clocks.SYSTEM.monotonicMs() - this.arrivedMs, cost);
-			settleClaim(answer);
-			record(answer);
-			return answer;
+			RequestResult result = end(output.isRight() ? RequestResult.complete() : output.getLeft());
+			this.context.filter((requestContext) -> this.permitHeld)
+				.ifPresent((requestContext) -> RequestRunner.this.limiter.release(requestContext.workspace()));
+			boolean complete = result.outcome() == Outcome.COMPLETE;
+			Map<String, Double> cost = this.context.map((requestContext) -> requestContext.cost().totals(complete))
+				.orElse(Map.of());
+			CallerResponse response = new CallerResponse(this.request.id(), result, complete ? output.get() : "",
+					this.context.map((requestContext) -> requestContext.state().configVersion()).orElse(0L),
+					this.firstTokenMs, Clocks.SYSTEM.monotonicMs() - this.arrivedMs, cost);
+			closeClaim(response);
+			record(response);
+			return response;
 		}
 
 		private Either<RequestResult, String> generate(TextSink sink) {
-			RequestContext own = this.context.orElseThrow();
-			return RequestRunner.this.stages.generate(own, this.data, sink).map((made) -> {
-				this.firstTokenMs = made.firstTokenMs();
-				return made.text();
+			RequestContext requestContext = this.context.orElseThrow();
+			return RequestRunner.this.stages.generate(requestContext, this.data, sink).map((generated) -> {
+				this.firstTokenMs = generated.firstTokenMs();
+				return generated.text();
 			});
 		}
 
-		private RequestResult end(RequestResult wanted) {
-			return this.context.map((own) -> own.ledger().end(wanted)).orElse(wanted);
+		private RequestResult end(RequestResult proposed) {
+			return this.context.map((requestContext) -> requestContext.attempts().end(proposed)).orElse(proposed);
 		}
 
-		private void settleClaim(CallerResponse answer) {
+		private void closeClaim(CallerResponse response) {
 			if (!this.claimed) {
 				return;
 			}
-			if (answer.ending().outcome() == Outcome.NOT_RUN) {
+			if (response.result().outcome() == Outcome.NOT_RUN) {
 				RequestRunner.this.claims.release(this.request.key().orElseThrow(), this.submission);
 			}
 			else {
 				RequestRunner.this.claims.finish(this.request.key().orElseThrow(), this.submission,
-						answer.toJson(true));
+						response.toJson(true));
 			}
 		}
 
-		private void record(CallerResponse answer) {
-			RequestResult ending = answer.ending();
+		private void record(CallerResponse response) {
+			RequestResult result = response.result();
 			RequestRunner.this.events.emit(EventCode.REQUEST_ENDED, this.request.id(),
-					ending.outcome() + " " + ending.reason() + " " + ending.detail());
-			MetricRegistry all = RequestRunner.this.metrics;
-			all.counter("requests." + ending.outcome().name().toLowerCase(java.util.Locale.ROOT)).inc();
-			all.timer("request.time").update(answer.totalMs(), java.util.concurrent.TimeUnit.MILLISECONDS);
-			answer.cost().forEach((name, cost) -> all.counter("cost." + name).inc(Math.round(cost)));
+					result.outcome() + " " + result.reason() + " " + result.detail());
+			MetricRegistry registry = RequestRunner.this.metrics;
+			registry.counter("requests." + result.outcome().name().toLowerCase(java.util.Locale.ROOT)).inc();
+			registry.timer("request.time").update(response.totalMs(), java.util.concurrent.TimeUnit.MILLISECONDS);
+			response.cost().forEach((name, cost) -> registry.counter("cost." + name).inc(Math.round(cost)));
 		}
 
 	}
--- a/entry/src/main/java/org/tallycart/entry/WorkspaceLimiter.java
+++ b/entry/src/main/java/org/tallycart/entry/WorkspaceLimiter.java
@@ -14,7 +14,7 @@
 import org.tallycart.wire.message.ShareReport;
 
 /**
- * This VM's share of each workspace's limits.
+ * Limits requests per workspace to this VM's share of the workspace's limits.
  * <p>
  * Thread-safe.
  *
@@ -22,19 +22,20 @@
  */
 final class WorkspaceLimiter {
 
-	private static final double IDLE_DEMAND = 0.01;
+	private static final double IDLE_DEMAND_PER_SECOND = 0.01;
 
-	private final Map<String, ShareLimiter> rates = new HashMap<>();
+	private final Map<String, ShareLimiter> rateLimiters = new HashMap<>();
 
 	private final Map<String, Integer> inFlight = new HashMap<>();
 
 	private long retryAfterMs;
 
 	/**
-	 * Let a request in, if its workspace's limits allow.
+	 * Acquire a permit for a request, if the limits of its workspace allow.
 	 * @param workspace the workspace
-	 * @param state the state of the fleet
-	 * @return whether it may enter; if so, {@link #release} must follow
+	 * @param state the current state of the fleet
+	 * @return whether the request is admitted; if so, {@link #release} must be called
+	 * when it ends
 	 */
 	synchronized boolean tryAcquire(Workspace workspace, EntryState state) {
 		long nowMs = Clocks.SYSTEM.monotonicMs();
@@ -44,9 +45,10 @@
 			return false;
 		}
 		if (workspace.requestsPerSecond() > 0) {
-			ShareLimiter holder = this.rates.computeIfAbsent(workspace.id(), (key) -> ShareLimiter.create(nowMs));
-			if (!holder.tryAcquire(workspace.requestsPerSecond(), state.activeVms(), nowMs)) {
-				this.retryAfterMs = holder.retryAfterMs();
+			ShareLimiter limiter = this.rateLimiters.computeIfAbsent(workspace.id(),
+					(key) -> ShareLimiter.create(nowMs));
+			if (!limiter.tryAcquire(workspace.requestsPerSecond(), state.activeVms(), nowMs)) {
+				this.retryAfterMs = limiter.retryAfterMs();
 				return false;
 			}
 		}
@@ -63,44 +65,45 @@
 	}
 
 	/**
-	 * Report demand to the steward and take the grants it brings. Called each second.
-	 * @param link the steward
+	 * Report demand to the steward and apply the grants in its reply. Called
+	 * periodically.
+	 * @param steward the client of the steward
 	 */
-	void reportDemand(StewardClient link) {
-		long askedMs = Clocks.SYSTEM.monotonicMs();
-		ShareReport report = report(link.state(), askedMs);
+	void reportDemand(StewardClient steward) {
+		long requestedMs = Clocks.SYSTEM.monotonicMs();
+		ShareReport report = createReport(steward.state(), requestedMs);
 		if (report.getDemandsCount() == 0) {
 			return;
 		}
-		link.requestShares(report).thenAccept((reply) -> reply.peek((message) -> {
+		steward.requestShares(report).thenAccept((reply) -> reply.peek((message) -> {
 			for (ShareGrant grant : message.getShareAnswer().getGrantsList()) {
-				take(grant, askedMs);
+				applyGrant(grant, requestedMs);
 			}
 		}));
 	}
 
-	private synchronized ShareReport report(EntryState state, long nowMs) {
+	private synchronized ShareReport createReport(EntryState state, long nowMs) {
 		ShareReport.Builder report = ShareReport.newBuilder();
-		this.rates.entrySet().removeIf((entry) -> {
+		this.rateLimiters.entrySet().removeIf((entry) -> {
 			Workspace workspace = state.declarations().workspaces().get(entry.getKey());
-			ShareRequest ask = entry.getValue().createRequest(entry.getKey(), "", nowMs);
-			if (workspace == null || ask.demandPerSecond() < IDLE_DEMAND) {
+			ShareRequest request = entry.getValue().createRequest(entry.getKey(), "", nowMs);
+			if (workspace == null || request.demandPerSecond() < IDLE_DEMAND_PER_SECOND) {
 				return true;
 			}
 			report.addDemands(ShareDemand.newBuilder()
 				.setWorkspace(workspace.id())
-				.setDemandPerSecond(ask.demandPerSecond())
-				.setHoldsPerSecond(ask.holdsPerSecond())
+				.setDemandPerSecond(request.demandPerSecond())
+				.setHoldsPerSecond(request.holdsPerSecond())
 				.setLimitPerSecond(workspace.requestsPerSecond()));
 			return false;
 		});
 		return report.build();
 	}
 
-	private synchronized void take(ShareGrant grant, long askedMs) {
-		ShareLimiter holder = this.rates.get(grant.getWorkspace());
-		if (holder != null) {
-			holder.onGrant(grant.getRatePerSecond(), askedMs);
+	private synchronized void applyGrant(ShareGrant grant, long requestedMs) {
+		ShareLimiter limiter = this.rateLimiters.get(grant.getWorkspace());
+		if (limiter != null) {
+			limiter.onGrant(grant.getRatePerSecond(), requestedMs);
 		}
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/caller/CallerRequest.java
+++ b/entry/src/main/java/org/tallycart/entry/caller/CallerRequest.java
@@ -5,19 +5,20 @@
 import org.tallycart.core.claim.IdempotencyKey;
 
 /**
- * A caller's request, checked.
+ * Validated request of a caller.
  *
- * @param id names the request in events and answers
- * @param workspace its workspace
- * @param pipeline its pipeline
- * @param label the caller's label of the kind of work; may be empty
- * @param deadlineMs time it may take; 0 for the pipeline's own deadline
- * @param repeatable whether its stage calls may be repeated
- * @param key its idempotency key; always there if it is not repeatable
- * @param firstSubmission whether the caller says that the key was never submitted before
- * @param stream whether the answer is to be streamed
- * @param input the question
- * @param maxTokens tokens to generate, at most
+ * @param id id of the request in events and responses
+ * @param workspace id of the workspace
+ * @param pipeline id of the pipeline
+ * @param label the caller's label for the kind of work; may be empty
+ * @param deadlineMs maximum duration, in milliseconds; 0 for the pipeline's deadline
+ * @param repeatable whether its stage calls may be retried
+ * @param key the idempotency key; present if the request is not repeatable
+ * @param firstSubmission whether the caller states that the key was never submitted
+ * before
+ * @param stream whether the response is streamed
+ * @param input the input text
+ * @param maxTokens maximum number of tokens to generate
  * @since 0.1
  */
 public record CallerRequest(String id, String workspace, String pipeline, String label, long deadlineMs,
--- a/entry/src/main/java/org/tallycart/entry/caller/CallerRequestReader.java
+++ b/entry/src/main/java/org/tallycart/entry/caller/CallerRequestReader.java
@@ -18,7 +18,8 @@
 import org.tallycart.core.claim.IdempotencyKey;
 
 /**
- * Reads a caller's request and reports everything that is wrong with it at once.
+ * Parses and validates callers' requests; all problems of a request are reported
+ * together.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -34,7 +35,7 @@
 
 	private static final int MAX_TOKENS = 32_768;
 
-	private static final int DEFAULT_TOKENS = 64;
+	private static final int DEFAULT_MAX_TOKENS = 64;
 
 	private static final long MAX_DEADLINE_MS = 3_600_000;
 
@@ -44,23 +45,23 @@
 	}
 
 	/**
-	 * Read a request.
-	 * @param request the request
-	 * @return the checked request, or everything that is wrong with it
-	 * @throws IOException if the caller is gone
+	 * Parse a request.
+	 * @param request the HTTP request
+	 * @return the validated request, or all problems found
+	 * @throws IOException if the body cannot be read from the connection
 	 */
 	public static Either<List<String>, CallerRequest> read(ClassicHttpRequest request) throws IOException {
 		List<String> problems = new ArrayList<>();
 		String path = URI.create(request.getRequestUri()).getPath();
 		String pipeline = path.startsWith(PATH_PREFIX) ? path.substring(PATH_PREFIX.length()) : "";
 		String workspace = field(request, CallerFields.WORKSPACE);
-		name("the pipeline in the path", pipeline, problems);
-		name(CallerFields.WORKSPACE, workspace, problems);
+		checkName("the pipeline in the path", pipeline, problems);
+		checkName(CallerFields.WORKSPACE, workspace, problems);
 		JsonNode body = body(request, problems);
 		boolean repeatable = flag(request, CallerFields.REPEATABLE, true, problems);
 		Optional<IdempotencyKey> key = key(request, repeatable, problems);
 		long deadline = deadline(request, problems);
-		int maxTokens = tokens(body, problems);
+		int maxTokens = maxTokens(body, problems);
 		String input = body.path("input").asText("");
 		if (input.isEmpty()) {
 			problems.add("the body lacks a text 'input'");
@@ -69,16 +70,16 @@
 		if (id.isEmpty()) {
 			id = Generators.timeBasedEpochGenerator().generate().toString();
 		}
-		name(CallerFields.REQUEST_ID, id, problems);
-		boolean first = flag(request, CallerFields.FIRST_SUBMISSION, false, problems);
+		checkName(CallerFields.REQUEST_ID, id, problems);
+		boolean firstSubmission = flag(request, CallerFields.FIRST_SUBMISSION, false, problems);
 		if (!problems.isEmpty()) {
 			return Either.left(problems);
 		}
 		return Either.right(new CallerRequest(id, workspace, pipeline, field(request, CallerFields.LABEL), deadline,
-				repeatable, key, first, body.path("stream").asBoolean(false), input, maxTokens));
+				repeatable, key, firstSubmission, body.path("stream").asBoolean(false), input, maxTokens));
 	}
 
-	private static void name(String what, String value, List<String> problems) {
+	private static void checkName(String what, String value, List<String> problems) {
 		if (!NAME.matcher(value).matches()) {
 			problems.add(what + " is missing or not a name of up to 128 letters, digits and . _ : -");
 		}
@@ -123,22 +124,22 @@
 			return 0;
 		}
 		try {
-			long millis = Long.parseLong(text);
-			if (millis >= 1 && millis <= MAX_DEADLINE_MS) {
-				return millis;
+			long deadlineMs = Long.parseLong(text);
+			if (deadlineMs >= 1 && deadlineMs <= MAX_DEADLINE_MS) {
+				return deadlineMs;
 			}
 		}
 		catch (NumberFormatException ex) {
-			// Reported below, as a number out of bounds is.
+			// Reported below, together with numbers out of range.
 		}
 		problems.add(CallerFields.DEADLINE_MS + " is not a whole number from 1 to " + MAX_DEADLINE_MS);
 		return 0;
 	}
 
-	private static int tokens(JsonNode body, List<String> problems) {
+	private static int maxTokens(JsonNode body, List<String> problems) {
 		JsonNode node = body.path("max_tokens");
 		if (node.isMissingNode()) {
-			return DEFAULT_TOKENS;
+			return DEFAULT_MAX_TOKENS;
 		}
 		if (!node.isInt() || node.asInt() < 1 || node.asInt() > MAX_TOKENS) {
 			problems.add("'max_tokens' is not a whole number from 1 to " + MAX_TOKENS);
--- a/entry/src/main/java/org/tallycart/entry/caller/CallerResponse.java
+++ b/entry/src/main/java/org/tallycart/entry/caller/CallerResponse.java
@@ -10,37 +10,38 @@
 import org.tallycart.core.replication.Digest;
 
 /**
- * The answer to a request.
+ * Response to a request.
  * <p>
  * Immutable and thread-safe.
  *
- * @param requestId the request
- * @param ending how it ended
- * @param output the text; empty unless the ending is COMPLETE
- * @param configVersion the version of the configuration it saw
- * @param firstTokenMs when the first token came; -1 if none did
- * @param totalMs how long it took
- * @param cost what its stages cost
+ * @param requestId id of the request
+ * @param result the result
+ * @param output the text; empty unless the outcome is COMPLETE
+ * @param configVersion version of the configuration that the request used
+ * @param firstTokenMs time from arrival to the first token, in milliseconds; -1 if there
+ * was none
+ * @param totalMs total time, in milliseconds
+ * @param cost cost by {@code service.use}
  * @since 0.1
  */
-public record CallerResponse(String requestId, RequestResult ending, String output, long configVersion,
+public record CallerResponse(String requestId, RequestResult result, String output, long configVersion,
 		long firstTokenMs, long totalMs, Map<String, Double> cost) {
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
 	/**
-	 * Write the answer as JSON.
-	 * @param withOutput whether to hold the text too; the end record of a stream does not
-	 * @return the bytes
+	 * Serialize the response as JSON.
+	 * @param withOutput whether to include the text; false for the end record of a stream
+	 * @return the JSON as UTF-8 bytes
 	 */
 	public byte[] toJson(boolean withOutput) {
 		byte[] text = this.output.getBytes(StandardCharsets.UTF_8);
 		ObjectNode node = JSON.createObjectNode()
 			.put("request_id", this.requestId)
-			.put("outcome", this.ending.outcome().name())
-			.put("reason", this.ending.reason().name())
-			.put("detail", this.ending.detail())
-			.put("retry_after_ms", this.ending.retryAfterMs());
+			.put("outcome", this.result.outcome().name())
+			.put("reason", this.result.reason().name())
+			.put("detail", this.result.detail())
+			.put("retry_after_ms", this.result.retryAfterMs());
 		if (withOutput) {
 			node.put("output", this.output);
 		}
@@ -55,7 +56,7 @@
 			return JSON.writeValueAsBytes(node);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a tree of JSON can always be written", ex);
+			throw new IllegalStateException("cannot serialize a JSON tree", ex);
 		}
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/caller/package-info.java
+++ b/entry/src/main/java/org/tallycart/entry/caller/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The callers' interface over HTTP.
+ * HTTP interface for callers: requests, responses and header fields.
  */
 @NullMarked
 package org.tallycart.entry.caller;
--- a/entry/src/main/java/org/tallycart/entry/claim/ClaimClient.java
+++ b/entry/src/main/java/org/tallycart/entry/claim/ClaimClient.java
@@ -34,9 +34,9 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * Claims idempotency keys from the owners of their slots.
+ * Claims idempotency keys at the owners of their slots.
  * <p>
- * Invariants: a grant counts only if its term is not lower than any this entry has seen
+ * Invariants: a grant is valid only if its term is not lower than the highest term seen
  * for the slot; a request whose claim has an unknown result never runs. Thread-safe.
  *
  * @since 0.1
@@ -45,15 +45,15 @@
 
 	private static final long CALL_TIMEOUT_MS = 500;
 
-	private static final long SEARCH_MS = 3_000;
+	private static final long OWNER_SEARCH_MS = 3_000;
 
-	private static final long PAUSE_MS = 50;
+	private static final long RETRY_PAUSE_MS = 50;
 
-	private static final long RESERVE_MS = 20;
+	private static final long DEADLINE_RESERVE_MS = 20;
 
-	private static final long COME_BACK_MS = 1_000;
+	private static final long RETRY_AFTER_MS = 1_000;
 
-	private static final int FINISH_TRIES = 5;
+	private static final int MAX_FINISH_ATTEMPTS = 5;
 
 	private final String vm;
 
@@ -80,11 +80,11 @@
 
 	/**
 	 * Create a client.
-	 * @param vm the VM of this entry
-	 * @param transport the process's transport
-	 * @param state what is known of the fleet
+	 * @param vm id of this VM
+	 * @param transport the wire transport of the process
+	 * @param state supplies the current state of the fleet
 	 * @param window the window in which keys can be claimed
-	 * @param events the process's events
+	 * @param events the event log of the process
 	 * @return the client
 	 */
 	public static ClaimClient create(String vm, WireTransport transport, Supplier<EntryState> state,
@@ -95,84 +95,82 @@
 	/**
 	 * Claim a key.
 	 * @param key the key
-	 * @param attemptId this submission's id, unique in the fleet
-	 * @param firstSubmission whether the caller says that the key was never submitted
+	 * @param attemptId id of this submission, unique in the fleet
+	 * @param firstSubmission whether the caller states that the key was never submitted
 	 * before
-	 * @param deadlineMs when the request is due, by the monotonic clock
-	 * @return what became of it
+	 * @param deadlineMs deadline of the request, in milliseconds of the monotonic clock
+	 * @return the decision
 	 */
 	public ClaimDecision claim(IdempotencyKey key, String attemptId, boolean firstSubmission, long deadlineMs) {
-		Optional<RequestResult> outside = this.window.check(key, Clocks.SYSTEM.wallMs());
-		if (outside.isPresent()) {
-			return ClaimDecision.refused(truthful(outside.get(), firstSubmission));
+		Optional<RequestResult> windowRefusal = this.window.check(key, Clocks.SYSTEM.wallMs());
+		if (windowRefusal.isPresent()) {
+			return ClaimDecision.refused(correctOutcome(windowRefusal.get(), firstSubmission));
 		}
-		long searchUntil = Math.min(deadlineMs - RESERVE_MS, Clocks.SYSTEM.monotonicMs() + SEARCH_MS);
+		long searchUntil = Math.min(deadlineMs - DEADLINE_RESERVE_MS, Clocks.SYSTEM.monotonicMs() + OWNER_SEARCH_MS);
 		boolean maybeRecorded = false;
 		ClaimDecision decision = null;
 		boolean held = false;
 		while (decision == null) {
-			Either<WireError, ClaimAnswer> answer = ask(key, attemptId);
+			Either<WireError, ClaimAnswer> answer = sendClaim(key, attemptId);
 			maybeRecorded |= answer.isLeft() && answer.getLeft() != WireError.NOT_CONNECTED;
-			this.events.emit(EventCode.KEY_CLAIMED, SubmissionId.requestIdOf(attemptId),
-					key.text() + " " + answer.map((known) -> known.getStatus().name()).getOrElseGet(WireError::name));
+			this.events.emit(EventCode.KEY_CLAIMED, SubmissionId.requestIdOf(attemptId), key.text() + " "
+					+ answer.map((claimAnswer) -> claimAnswer.getStatus().name()).getOrElseGet(WireError::name));
 			held = answer.isRight() && answer.get().getStatus() == ClaimAnswer.Status.HELD;
 			decision = answer.isRight() ? decide(key, answer.get(), firstSubmission) : null;
-			long until = held ? deadlineMs - RESERVE_MS : searchUntil;
-			if (decision == null && (Clocks.SYSTEM.monotonicMs() + PAUSE_MS >= until || !pause())) {
-				decision = giveUp(held, firstSubmission);
+			long until = held ? deadlineMs - DEADLINE_RESERVE_MS : searchUntil;
+			if (decision == null && (Clocks.SYSTEM.monotonicMs() + RETRY_PAUSE_MS >= until || !pause())) {
+				decision = refuseUndecided(held, firstSubmission);
 			}
 		}
 		if (decision.kind() == ClaimDecision.Kind.REFUSED && maybeRecorded) {
-			// An unanswered claim may be on record; this attempt will never run, so let
-			// it go.
+			// An unanswered claim may have been recorded; this submission never runs.
 			release(key, attemptId);
 		}
 		return decision;
 	}
 
-	private static ClaimDecision giveUp(boolean held, boolean firstSubmission) {
+	private static ClaimDecision refuseUndecided(boolean held, boolean firstSubmission) {
 		if (held) {
 			return ClaimDecision.refused(new RequestResult(Outcome.UNKNOWN, Reason.KEY_HELD,
-					"another submission of this key is in progress or was cut off", COME_BACK_MS));
+					"another submission of this key is in progress or was cut off", RETRY_AFTER_MS));
 		}
-		return ClaimDecision.refused(truthful(new RequestResult(Outcome.NOT_RUN, Reason.NO_SLOT_OWNER,
-				"the owner of this key's slot cannot be reached", COME_BACK_MS), firstSubmission));
+		return ClaimDecision.refused(correctOutcome(new RequestResult(Outcome.NOT_RUN, Reason.NO_SLOT_OWNER,
+				"the owner of this key's slot cannot be reached", RETRY_AFTER_MS), firstSubmission));
 	}
 
 	private @Nullable ClaimDecision decide(IdempotencyKey key, ClaimAnswer answer, boolean firstSubmission) {
 		return switch (answer.getStatus()) {
 			case GRANTED -> ClaimDecision.granted();
 			case FINISHED -> ClaimDecision.answered(answer.getResult().toByteArray());
-			case BEFORE_TAKEOVER -> ClaimDecision.refused(truthful(new RequestResult(Outcome.NOT_RUN,
+			case BEFORE_TAKEOVER -> ClaimDecision.refused(correctOutcome(new RequestResult(Outcome.NOT_RUN,
 					Reason.KEY_BEFORE_TAKEOVER,
 					"the key is older than the take-over of its slot; a first submission may come back with a new key",
 					2 * this.window.skewMs()), firstSubmission));
-			case EXPIRED -> ClaimDecision.refused(truthful(
+			case EXPIRED -> ClaimDecision.refused(correctOutcome(
 					RequestResult.of(Outcome.NOT_RUN, Reason.KEY_EXPIRED, "the key is too old"), firstSubmission));
 			default -> null;
 		};
 	}
 
-	private static RequestResult truthful(RequestResult ending, boolean firstSubmission) {
-		// An earlier submission of the key may have run, unless the caller says there is
-		// none.
-		boolean certain = firstSubmission || ending.outcome() != Outcome.NOT_RUN
-				|| ending.reason() == Reason.KEY_FROM_FUTURE;
-		Outcome outcome = certain ? ending.outcome() : Outcome.UNKNOWN;
+	private static RequestResult correctOutcome(RequestResult result, boolean firstSubmission) {
+		// Unless this is the first submission of the key, an earlier one may have run.
+		boolean certain = firstSubmission || result.outcome() != Outcome.NOT_RUN
+				|| result.reason() == Reason.KEY_FROM_FUTURE;
+		Outcome outcome = certain ? result.outcome() : Outcome.UNKNOWN;
 		if (firstSubmission) {
 			outcome = Outcome.NOT_RUN;
 		}
-		return new RequestResult(outcome, ending.reason(), ending.detail(), ending.retryAfterMs());
+		return new RequestResult(outcome, result.reason(), result.detail(), result.retryAfterMs());
 	}
 
-	private Either<WireError, ClaimAnswer> ask(IdempotencyKey key, String attemptId) {
-		EntryState known = this.state.get();
-		int slot = key.slot(known.slots().slotCount());
-		WireClient owner = owner(known, slot);
+	private Either<WireError, ClaimAnswer> sendClaim(IdempotencyKey key, String attemptId) {
+		EntryState current = this.state.get();
+		int slot = key.slot(current.slots().slotCount());
+		WireClient owner = owner(current, slot);
 		if (owner == null) {
 			return Either.left(WireError.NOT_CONNECTED);
 		}
-		long term = highest(slot, termOf(known, slot));
+		long term = updateHighestTerm(slot, ownerTerm(current, slot));
 		ClaimCall call = ClaimCall.newBuilder()
 			.setKey(key.text())
 			.setClaimant(claimant(attemptId))
@@ -182,40 +180,40 @@
 				owner.call(Envelope.newBuilder().setClaimCall(call), CALL_TIMEOUT_MS))
 			.map(Envelope::getClaimAnswer);
 		if (answer.isRight() && answer.get().getStatus() == ClaimAnswer.Status.GRANTED
-				&& highest(slot, answer.get().getTerm()) > answer.get().getTerm()) {
-			// A grant of an owner that has been replaced counts for nothing.
+				&& updateHighestTerm(slot, answer.get().getTerm()) > answer.get().getTerm()) {
+			// A grant by an owner that has been replaced is invalid.
 			return Either.right(ClaimAnswer.newBuilder().setStatus(ClaimAnswer.Status.NOT_OWNER).build());
 		}
 		return answer;
 	}
 
-	private long highest(int slot, long term) {
+	private long updateHighestTerm(int slot, long term) {
 		Long highest = this.highestTerms.merge(slot, term, Math::max);
 		return (highest != null) ? highest : term;
 	}
 
-	private static long termOf(EntryState known, int slot) {
-		SlotOwner owner = known.slots().owner(slot);
+	private static long ownerTerm(EntryState current, int slot) {
+		SlotOwner owner = current.slots().owner(slot);
 		return (owner != null) ? owner.term() : 0;
 	}
 
-	private @Nullable WireClient owner(EntryState known, int slot) {
-		SlotOwner owner = known.slots().owner(slot);
+	private @Nullable WireClient owner(EntryState current, int slot) {
+		SlotOwner owner = current.slots().owner(slot);
 		if (owner == null) {
 			return null;
 		}
-		return known.vms()
+		return current.vms()
 			.find(owner.vm())
 			.map((vm) -> this.clients.computeIfAbsent(vm.address(), this.transport::client))
 			.orElse(null);
 	}
 
 	/**
-	 * Report the answer of a request that ran, so that later submissions of its key get
-	 * it.
+	 * Store the response to a request that ran, for later submissions of its key. Failed
+	 * calls are retried in the background, a limited number of times.
 	 * @param key the key
-	 * @param attemptId the submission that ran
-	 * @param answer the answer
+	 * @param attemptId id of the submission that ran
+	 * @param answer the response as JSON
 	 */
 	public void finish(IdempotencyKey key, String attemptId, byte[] answer) {
 		ClaimFinish finish = ClaimFinish.newBuilder()
@@ -223,31 +221,31 @@
 			.setClaimant(claimant(attemptId))
 			.setResult(ByteString.copyFrom(answer))
 			.build();
-		finish(key, finish, FINISH_TRIES);
+		finish(key, finish, MAX_FINISH_ATTEMPTS);
 	}
 
-	private void finish(IdempotencyKey key, ClaimFinish finish, int triesLeft) {
-		EntryState known = this.state.get();
-		WireClient owner = owner(known, key.slot(known.slots().slotCount()));
-		if (owner == null || triesLeft == 0) {
+	private void finish(IdempotencyKey key, ClaimFinish finish, int attemptsLeft) {
+		EntryState current = this.state.get();
+		WireClient owner = owner(current, key.slot(current.slots().slotCount()));
+		if (owner == null || attemptsLeft == 0) {
 			return;
 		}
 		owner.call(Envelope.newBuilder().setClaimFinish(finish), CALL_TIMEOUT_MS).thenAccept((reply) -> {
 			if (reply.isLeft() || !reply.get().getAck().getAccepted()) {
 				CompletableFuture.delayedExecutor(CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS)
-					.execute(() -> finish(key, finish, triesLeft - 1));
+					.execute(() -> finish(key, finish, attemptsLeft - 1));
 			}
 		});
 	}
 
 	/**
-	 * Let a key go, whose submission has begun nothing and never will.
+	 * Release a key whose submission has started no call and never will.
 	 * @param key the key
-	 * @param attemptId the submission
+	 * @param attemptId id of the submission
 	 */
 	public void release(IdempotencyKey key, String attemptId) {
-		EntryState known = this.state.get();
-		WireClient owner = owner(known, key.slot(known.slots().slotCount()));
+		EntryState current = this.state.get();
+		WireClient owner = owner(current, key.slot(current.slots().slotCount()));
 		if (owner != null) {
 			owner.send(Envelope.newBuilder()
 				.setClaimRelease(ClaimRelease.newBuilder().setKey(key.text()).setClaimant(claimant(attemptId))));
@@ -267,13 +265,13 @@
 			return Either.left(WireError.TIMED_OUT);
 		}
 		catch (ExecutionException ex) {
-			throw new IllegalStateException("a wire call never fails by an exception", ex);
+			throw new IllegalStateException("wire call completed exceptionally", ex);
 		}
 	}
 
 	private static boolean pause() {
 		try {
-			Thread.sleep(PAUSE_MS);
+			Thread.sleep(RETRY_PAUSE_MS);
 			return true;
 		}
 		catch (InterruptedException ex) {
--- a/entry/src/main/java/org/tallycart/entry/claim/ClaimDecision.java
+++ b/entry/src/main/java/org/tallycart/entry/claim/ClaimDecision.java
@@ -4,23 +4,23 @@
 import org.tallycart.core.outcome.RequestResult;
 
 /**
- * What became of the claim of an idempotency key.
+ * Result of claiming an idempotency key.
  *
- * @param kind what became of it
- * @param storedAnswer the answer of the submission that ran, where kind is ANSWERED
- * @param refusal how to end, where kind is REFUSED
+ * @param kind the kind of decision
+ * @param storedResponse the response to the submission that ran, if kind is ANSWERED
+ * @param refusal the result of the request, if kind is REFUSED
  * @since 0.1
  */
-public record ClaimDecision(Kind kind, byte @Nullable [] storedAnswer, @Nullable RequestResult refusal) {
+public record ClaimDecision(Kind kind, byte @Nullable [] storedResponse, @Nullable RequestResult refusal) {
 
 	/** Kinds of decision. */
 	public enum Kind {
 
-		/** The key is this request's: it may run, and nobody else may. */
+		/** This request holds the key: it may run, and no other request may. */
 		GRANTED,
-		/** The key has run; its answer is known. */
+		/** A request with this key has run, and its response is stored. */
 		ANSWERED,
-		/** The key may not run here. */
+		/** The request may not run. */
 		REFUSED
 
 	}
@@ -29,12 +29,12 @@
 		return new ClaimDecision(Kind.GRANTED, null, null);
 	}
 
-	static ClaimDecision answered(byte[] answer) {
-		return new ClaimDecision(Kind.ANSWERED, answer, null);
+	static ClaimDecision answered(byte[] response) {
+		return new ClaimDecision(Kind.ANSWERED, response, null);
 	}
 
-	static ClaimDecision refused(RequestResult ending) {
-		return new ClaimDecision(Kind.REFUSED, null, ending);
+	static ClaimDecision refused(RequestResult result) {
+		return new ClaimDecision(Kind.REFUSED, null, result);
 	}
 
 }
--- a/entry/src/main/java/org/tallycart/entry/claim/package-info.java
+++ b/entry/src/main/java/org/tallycart/entry/claim/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The entry's side of at-most-once execution.
+ * Client of the claim protocol for at-most-once execution.
  */
 @NullMarked
 package org.tallycart.entry.claim;
--- a/entry/src/main/java/org/tallycart/entry/package-info.java
+++ b/entry/src/main/java/org/tallycart/entry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The entry: accepts callers' requests and runs them through their pipelines.
+ * Entry process: accepts callers' requests and runs them through their pipelines.
  */
 @NullMarked
 package org.tallycart.entry;
--- a/entry/src/main/java/org/tallycart/entry/stage/AttemptFailure.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/AttemptFailure.java
@@ -4,27 +4,27 @@
 import org.tallycart.core.outcome.Reason;
 
 /**
- * Why an attempt has no result.
+ * Failure of an attempt at a stage call.
  *
- * @param state what the ledger is to note
- * @param reason why
- * @param message a short text for people
- * @param blame whether the upstream is to blame
+ * @param state the state to record for the attempt
+ * @param reason the reason
+ * @param message short description for events and for the detail of the response
+ * @param blame whether the failure counts against the upstream
  * @since 0.1
  */
 record AttemptFailure(AttemptState state, Reason reason, String message, boolean blame) {
 
 	private static final String TOO_SLOW = "too slow to end in time";
 
-	boolean slow() {
+	boolean isSlow() {
 		return this.reason == Reason.DEADLINE || this.message.equals(TOO_SLOW);
 	}
 
-	static AttemptFailure notBegun(String message) {
+	static AttemptFailure notStarted(String message) {
 		return new AttemptFailure(AttemptState.ABANDONED, Reason.CONNECTION_LOST, message, true);
 	}
 
-	static AttemptFailure lost(String message) {
+	static AttemptFailure connectionLost(String message) {
 		return new AttemptFailure(AttemptState.ABANDONED, Reason.CONNECTION_LOST, message, true);
 	}
 
@@ -32,7 +32,7 @@
 		return new AttemptFailure(AttemptState.REFUSED, Reason.UPSTREAM_ERROR, message, false);
 	}
 
-	static AttemptFailure error(String message) {
+	static AttemptFailure upstreamError(String message) {
 		return new AttemptFailure(AttemptState.FAILED, Reason.UPSTREAM_ERROR, message, true);
 	}
 
@@ -44,7 +44,7 @@
 		return new AttemptFailure(AttemptState.ABANDONED, Reason.UPSTREAM_ERROR, TOO_SLOW, false);
 	}
 
-	static AttemptFailure ofDeadline() {
+	static AttemptFailure deadlineExceeded() {
 		return new AttemptFailure(AttemptState.ABANDONED, Reason.DEADLINE, "the deadline is past", false);
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/stage/CostMeter.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/CostMeter.java
@@ -8,7 +8,7 @@
 import org.tallycart.core.declaration.Service;
 
 /**
- * What the stage calls of one request have cost.
+ * Sums up the cost of the stage calls of one request.
  * <p>
  * Thread-safe: attempts report from several threads.
  *
@@ -16,42 +16,44 @@
  */
 public final class CostMeter {
 
-	private final List<AttemptCost> items = new ArrayList<>();
+	private final List<AttemptCost> costs = new ArrayList<>();
 
 	/**
 	 * Add the cost of an attempt that has ended.
 	 * @param service the service
-	 * @param use what the attempt was for
-	 * @param tokens tokens it generated
+	 * @param use the use of its result
+	 * @param tokens number of tokens it generated
 	 */
 	synchronized void add(Service service, Use use, int tokens) {
-		this.items.add(new AttemptCost(service.id(), use, service.costPerCall() + service.costPerToken() * tokens));
+		this.costs.add(new AttemptCost(service.id(), use, service.costPerCall() + service.costPerToken() * tokens));
 	}
 
 	/**
 	 * Sum up the cost by service and use.
-	 * @param complete whether the request ended whole; if not, nothing was of use
+	 * @param complete whether the request is COMPLETE; if not, useful attempts count as
+	 * abandoned
 	 * @return the cost by {@code service.use}
 	 */
 	public synchronized Map<String, Double> totals(boolean complete) {
 		Map<String, Double> totals = new TreeMap<>();
-		for (AttemptCost item : this.items) {
-			Use use = (complete || item.use != Use.USEFUL) ? item.use : Use.ABANDONED;
-			totals.merge(item.service + "." + use.name().toLowerCase(java.util.Locale.ROOT), item.cost, Double::sum);
+		for (AttemptCost attempt : this.costs) {
+			Use use = (complete || attempt.use != Use.USEFUL) ? attempt.use : Use.ABANDONED;
+			totals.merge(attempt.service + "." + use.name().toLowerCase(java.util.Locale.ROOT), attempt.cost,
+					Double::sum);
 		}
 		return totals;
 	}
 
-	/** What an attempt was for. */
+	/** Use of the result of an attempt. */
 	public enum Use {
 
-		/** Its result is part of the answer. */
+		/** The result contributed to the response. */
 		USEFUL,
-		/** It failed, and another was made in its place. */
+		/** The attempt failed and was retried. */
 		RETRIED,
 		/** Another attempt at the same call was faster. */
 		HEDGED,
-		/** Its result went nowhere. */
+		/** The result was not used. */
 		ABANDONED
 
 	}
--- a/entry/src/main/java/org/tallycart/entry/stage/Document.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/Document.java
@@ -1,10 +1,10 @@
 package org.tallycart.entry.stage;
 
 /**
- * A document that retrieval found.
+ * Document returned by a retrieve stage.
  *
- * @param id its id
- * @param text its text
+ * @param id id of the document
+ * @param text text of the document
  * @since 0.1
  */
 public record Document(String id, String text) {
--- a/entry/src/main/java/org/tallycart/entry/stage/EncodeProtocol.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/EncodeProtocol.java
@@ -9,7 +9,7 @@
 import org.tallycart.core.declaration.Service;
 
 /**
- * Embeddings, as {@code /v1/embeddings}.
+ * Protocol of embedding services, {@code /v1/embeddings}.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -30,7 +30,7 @@
 	}
 
 	@Override
-	public Either<String, PipelineData> accept(PipelineData data, JsonNode body) {
+	public Either<String, PipelineData> parseReply(PipelineData data, JsonNode body) {
 		List<Double> vector = new ArrayList<>();
 		body.path("data").path(0).path("embedding").forEach((number) -> vector.add(number.asDouble()));
 		return vector.isEmpty() ? Either.left("no embedding") : Either.right(data.withVector(vector));
--- a/entry/src/main/java/org/tallycart/entry/stage/GenerationStage.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/GenerationStage.java
@@ -19,11 +19,12 @@
 import org.tallycart.runtime.process.Clocks;
 
 /**
- * A generation: tokens are passed on as they come; a stream that breaks is resumed at
- * another upstream from what was passed on, so that no token is repeated or skipped.
+ * Runs a generation: forwards tokens as they arrive; a stream that breaks is resumed at
+ * another upstream after the text already forwarded, so that no token is repeated or
+ * skipped.
  * <p>
- * Invariant: COMPLETE only if some upstream ended its stream by itself. Not thread-safe:
- * one instance runs one generation, on the request's thread.
+ * Invariant: the result is COMPLETE only if an upstream sent the end mark of its stream.
+ * Not thread-safe: one instance runs one generation, on the request's thread.
  *
  * @since 0.1
  */
@@ -31,15 +32,15 @@
 
 	private static final String PATH = "/v1/completions";
 
-	private static final String DATA = "data:";
+	private static final String DATA_PREFIX = "data:";
 
-	private static final String DONE = "[DONE]";
+	private static final String END_MARK = "[DONE]";
 
-	private static final String ANSWER_MARK = "\nAnswer:";
+	private static final String ANSWER_PREFIX = "\nAnswer:";
 
-	private static final long DRAIN_MS = 1_000;
+	private static final long DRAIN_TIMEOUT_MS = 1_000;
 
-	private final StageContext tools;
+	private final StageContext shared;
 
 	private final RequestContext context;
 
@@ -55,12 +56,12 @@
 
 	private int tokens;
 
-	private int tokensOfAttempt;
+	private int attemptTokens;
 
 	private long firstTokenMs = -1;
 
-	GenerationStage(StageContext tools, RequestContext context, Service service, PipelineData data, TextSink sink) {
-		this.tools = tools;
+	GenerationStage(StageContext shared, RequestContext context, Service service, PipelineData data, TextSink sink) {
+		this.shared = shared;
 		this.context = context;
 		this.service = service;
 		this.data = data;
@@ -69,16 +70,16 @@
 
 	/**
 	 * Run the generation.
-	 * @return the data with the whole text, or how the request ends
+	 * @return the data with the whole text, or the result if the generation failed
 	 */
 	Either<RequestResult, PipelineData> run() {
-		this.tools.budget().onFirstAttempt();
-		RequestResult last = new RequestResult(Outcome.NOT_RUN, Reason.NO_UPSTREAM,
-				"no upstream of " + this.service.id() + " can be used", StageRunner.COME_BACK_MS);
+		this.shared.retryBudget().onFirstAttempt();
+		RequestResult lastResult = new RequestResult(Outcome.NOT_RUN, Reason.NO_UPSTREAM,
+				"no upstream of " + this.service.id() + " can be used", StageRunner.RETRY_AFTER_MS);
 		for (int attempts = 1;; attempts++) {
-			Optional<Upstream> upstream = this.tools.routing().choose(this.context, this.service, this.tried);
+			Optional<Upstream> upstream = this.shared.router().choose(this.context, this.service, this.tried);
 			if (upstream.isEmpty()) {
-				return Either.left(last);
+				return Either.left(lastResult);
 			}
 			this.tried.add(upstream.get().id());
 			Either<AttemptFailure, String> outcome = attempt(upstream.get());
@@ -86,73 +87,73 @@
 				return Either.right(this.data.withOutput(this.text.toString()));
 			}
 			AttemptFailure failure = outcome.getLeft();
-			last = new RequestResult(Outcome.NOT_RUN, failure.reason(), this.service.id() + ": " + failure.message(),
-					StageRunner.COME_BACK_MS);
-			boolean again = attempts < this.context.pipeline().maxAttempts() && mayRepeat(failure)
-					&& this.tools.budget().tryAcquire();
+			lastResult = new RequestResult(Outcome.NOT_RUN, failure.reason(),
+					this.service.id() + ": " + failure.message(), StageRunner.RETRY_AFTER_MS);
+			boolean retry = attempts < this.context.pipeline().maxAttempts() && isRetryable(failure)
+					&& this.shared.retryBudget().tryAcquire();
 			this.context.cost()
-				.add(this.service, again ? CostMeter.Use.RETRIED : CostMeter.Use.ABANDONED, this.tokensOfAttempt);
-			if (!again) {
-				return Either.left(last);
+				.add(this.service, retry ? CostMeter.Use.RETRIED : CostMeter.Use.ABANDONED, this.attemptTokens);
+			if (!retry) {
+				return Either.left(lastResult);
 			}
 			if (this.tokens > 0) {
-				this.tools.events()
+				this.shared.events()
 					.emit(EventCode.STREAM_RESUMED, this.context.request().id(),
 							this.service.id() + " after " + this.tokens + " tokens: " + failure.message());
 			}
 		}
 	}
 
-	private boolean mayRepeat(AttemptFailure failure) {
+	private boolean isRetryable(AttemptFailure failure) {
 		boolean pointless = failure.reason() == Reason.DEADLINE || failure.reason() == Reason.CALLER_GONE;
 		return !pointless && (this.context.request().repeatable() || failure.state() == AttemptState.REFUSED);
 	}
 
 	private Either<AttemptFailure, String> attempt(Upstream upstream) {
-		int number = this.context.ledger().plan(this.service.id());
+		int number = this.context.attempts().plan(this.service.id());
 		String name = this.service.id() + "#" + number + " at " + upstream.id();
-		this.tools.events().emit(EventCode.ATTEMPT_BEGAN, this.context.request().id(), name);
-		UpstreamCall call = new UpstreamCall(this.context, this.service, upstream, number, this.tools.pool());
-		this.tokensOfAttempt = 0;
-		long beganMs = Clocks.SYSTEM.monotonicMs();
-		Either<AttemptFailure, String> outcome = call.open(HttpCall.post(PATH, body()), patienceMs())
-			.flatMap((stream) -> read(stream, call, beganMs));
-		outcome = settle(outcome, call, Clocks.SYSTEM.monotonicMs() - beganMs);
-		this.tools.events()
+		this.shared.events().emit(EventCode.ATTEMPT_BEGAN, this.context.request().id(), name);
+		UpstreamCall call = new UpstreamCall(this.context, this.service, upstream, number, this.shared.pool());
+		this.attemptTokens = 0;
+		long startedMs = Clocks.SYSTEM.monotonicMs();
+		Either<AttemptFailure, String> outcome = call.open(HttpCall.post(PATH, body()), idleTimeoutMs())
+			.flatMap((stream) -> read(stream, call, startedMs));
+		outcome = recordOutcome(outcome, call, Clocks.SYSTEM.monotonicMs() - startedMs);
+		this.shared.events()
 			.emit(EventCode.ATTEMPT_ENDED, this.context.request().id(),
-					name + outcome.fold((failure) -> " " + failure.message(), (done) -> " ok"));
+					name + outcome.fold((failure) -> " " + failure.message(), (line) -> " ok"));
 		return outcome;
 	}
 
-	private Either<AttemptFailure, String> settle(Either<AttemptFailure, String> outcome, UpstreamCall call,
+	private Either<AttemptFailure, String> recordOutcome(Either<AttemptFailure, String> outcome, UpstreamCall call,
 			long millis) {
 		if (outcome.isRight()) {
-			call.finish();
-			this.tools.routing().onSuccess(this.service, call.upstream(), Math.max(this.tokensOfAttempt, 1), millis);
-			if (!this.context.ledger().accept(call.number())) {
-				return Either.left(AttemptFailure.error("the answer came too late"));
+			call.releaseConnection();
+			this.shared.router().onSuccess(this.service, call.upstream(), Math.max(this.attemptTokens, 1), millis);
+			if (!this.context.attempts().accept(call.number())) {
+				return Either.left(AttemptFailure.upstreamError("the answer came too late"));
 			}
-			this.context.cost().add(this.service, CostMeter.Use.USEFUL, this.tokensOfAttempt);
+			this.context.cost().add(this.service, CostMeter.Use.USEFUL, this.attemptTokens);
 			return outcome;
 		}
 		AttemptFailure failure = outcome.getLeft();
 		call.cancel();
-		this.context.ledger().close(call.number(), failure.state());
-		if (failure.message().equals(UpstreamCall.LEAVING)) {
-			this.tools.routing().onDraining(call.upstream().id());
+		this.context.attempts().close(call.number(), failure.state());
+		if (failure.message().equals(UpstreamCall.DRAINING)) {
+			this.shared.router().onDraining(call.upstream().id());
 		}
-		if (failure.slow()) {
-			this.tools.routing().onTimeout(this.service, call.upstream(), Math.max(this.tokensOfAttempt, 1), millis);
+		if (failure.isSlow()) {
+			this.shared.router().onTimeout(this.service, call.upstream(), Math.max(this.attemptTokens, 1), millis);
 			return outcome;
 		}
-		this.tools.routing().onFailure(call.upstream(), failure.blame(), failure.message());
+		this.shared.router().onFailure(call.upstream(), failure.blame(), failure.message());
 		return outcome;
 	}
 
 	private byte[] body() {
 		StringBuilder prompt = new StringBuilder();
 		this.data.documents().forEach((document) -> prompt.append(document.text()).append('\n'));
-		prompt.append(this.data.input()).append(ANSWER_MARK).append(this.text);
+		prompt.append(this.data.input()).append(ANSWER_PREFIX).append(this.text);
 		return Json.bytes(Json.MAPPER.createObjectNode()
 			.put("model", this.service.model())
 			.put("prompt", prompt.toString())
@@ -160,42 +161,42 @@
 			.put("stream", true));
 	}
 
-	private long patienceMs() {
-		return Math.min(this.context.remainingMs(), this.tools.times().idleTimeoutMs(this.service));
+	private long idleTimeoutMs() {
+		return Math.min(this.context.remainingMs(), this.shared.latencies().idleTimeoutMs(this.service));
 	}
 
-	private Either<AttemptFailure, String> read(StreamedReply stream, UpstreamCall call, long beganMs) {
+	private Either<AttemptFailure, String> read(StreamedReply stream, UpstreamCall call, long startedMs) {
 		long firstMs = -1;
 		while (true) {
-			long patience = patienceMs();
-			if (patience <= 0) {
-				return Either.left(AttemptFailure.ofDeadline());
+			long timeoutMs = idleTimeoutMs();
+			if (timeoutMs <= 0) {
+				return Either.left(AttemptFailure.deadlineExceeded());
 			}
-			var line = stream.nextLine(patience);
+			var line = stream.nextLine(timeoutMs);
 			if (line.isLeft()) {
-				return Either.left(call.failure(line.getLeft()));
+				return Either.left(call.toAttemptFailure(line.getLeft()));
 			}
 			if (line.get().isEmpty()) {
-				return Either.left(AttemptFailure.lost("the stream ended without its end mark"));
+				return Either.left(AttemptFailure.connectionLost("the stream ended without its end mark"));
 			}
 			String payload = payload(line.get().get());
-			if (payload.equals(DONE)) {
-				long millis = Clocks.SYSTEM.monotonicMs() - beganMs;
-				this.tools.times().addTokens(this.service, millis - Math.max(firstMs, 0), this.tokensOfAttempt);
-				return drain(stream, call);
+			if (payload.equals(END_MARK)) {
+				long millis = Clocks.SYSTEM.monotonicMs() - startedMs;
+				this.shared.latencies().addTokens(this.service, millis - Math.max(firstMs, 0), this.attemptTokens);
+				return readRemainder(stream, call);
 			}
 			if (!payload.isEmpty()) {
-				Either<AttemptFailure, String> passed = pass(payload);
-				if (passed.isLeft()) {
-					return passed;
+				Either<AttemptFailure, String> forwarded = forward(payload);
+				if (forwarded.isLeft()) {
+					return forwarded;
 				}
 				if (firstMs < 0) {
-					firstMs = Clocks.SYSTEM.monotonicMs() - beganMs;
-					this.tools.times().addCall(this.service, firstMs);
+					firstMs = Clocks.SYSTEM.monotonicMs() - startedMs;
+					this.shared.latencies().addCall(this.service, firstMs);
 				}
-				long streaming = Clocks.SYSTEM.monotonicMs() - beganMs - firstMs;
-				if (this.tools.times()
-					.isFasterElsewhere(this.service, this.tokensOfAttempt, streaming,
+				long streamingMs = Clocks.SYSTEM.monotonicMs() - startedMs - firstMs;
+				if (this.shared.latencies()
+					.isFasterElsewhere(this.service, this.attemptTokens, streamingMs,
 							this.data.maxTokens() - this.tokens, this.context.remainingMs())) {
 					return Either.left(AttemptFailure.tooSlow());
 				}
@@ -203,27 +204,27 @@
 		}
 	}
 
-	private Either<AttemptFailure, String> drain(StreamedReply stream, UpstreamCall call) {
-		// The blank line after the end mark and the last chunk belong to the answer.
+	private Either<AttemptFailure, String> readRemainder(StreamedReply stream, UpstreamCall call) {
+		// The connection can be reused only after the last chunk has been read.
 		while (true) {
-			var line = stream.nextLine(DRAIN_MS);
+			var line = stream.nextLine(DRAIN_TIMEOUT_MS);
 			if (line.isLeft() || line.get().isEmpty()) {
 				if (line.isLeft()) {
 					call.cancel();
 				}
-				return Either.right(DONE);
+				return Either.right(END_MARK);
 			}
 		}
 	}
 
 	private static String payload(String line) {
-		return line.startsWith(DATA) ? line.substring(DATA.length()).strip() : "";
+		return line.startsWith(DATA_PREFIX) ? line.substring(DATA_PREFIX.length()).strip() : "";
 	}
 
-	private Either<AttemptFailure, String> pass(String payload) {
+	private Either<AttemptFailure, String> forward(String payload) {
 		Either<String, JsonNode> chunk = Json.read(payload);
 		if (chunk.isLeft()) {
-			return Either.left(AttemptFailure.error(chunk.getLeft()));
+			return Either.left(AttemptFailure.upstreamError(chunk.getLeft()));
 		}
 		String piece = chunk.get().path("choices").path(0).path("text").asText("");
 		if (piece.isEmpty()) {
@@ -234,7 +235,7 @@
 		}
 		this.text.append(piece);
 		this.tokens++;
-		this.tokensOfAttempt++;
+		this.attemptTokens++;
 		try {
 			this.sink.onText(piece);
 			return Either.right(piece);
@@ -246,8 +247,8 @@
 	}
 
 	/**
-	 * Return how long after its arrival the request had its first token.
-	 * @return milliseconds; -1 if it had none
+	 * Return the time from the arrival of the request to its first token.
+	 * @return milliseconds; -1 if there was none
 	 */
 	long firstTokenMs() {
 		return this.firstTokenMs;
--- a/entry/src/main/java/org/tallycart/entry/stage/Json.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/Json.java
@@ -6,7 +6,7 @@
 import io.vavr.control.Either;
 
 /**
- * JSON, with failures as values.
+ * JSON mapping that returns parse errors as values.
  * <p>
  * Thread-safe.
  *
@@ -24,7 +24,7 @@
 			return MAPPER.writeValueAsBytes(node);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a tree of JSON can always be written", ex);
+			throw new IllegalStateException("cannot serialize a JSON tree", ex);
 		}
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/stage/LoadPoller.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/LoadPoller.java
@@ -16,10 +16,9 @@
 import org.tallycart.runtime.process.TaskFailureHandler;
 
 /**
- * Reads the load reports of the upstreams that this VM uses.
+ * Polls the load reports of the upstreams that this VM uses.
  * <p>
- * Thread-safe. A poll that is still going on when the next is due makes that one be
- * skipped.
+ * Thread-safe. A poll is skipped while the previous one is still running.
  *
  * @since 0.1
  */
@@ -33,9 +32,9 @@
 
 	private final UpstreamTable table;
 
-	private final UpstreamRouter routing;
+	private final UpstreamRouter router;
 
-	private final TaskFailureHandler guard;
+	private final TaskFailureHandler failureHandler;
 
 	private final HttpConnectionPool pool = HttpConnectionPool.create(IDLE_CONNECTIONS);
 
@@ -47,39 +46,39 @@
 		return thread;
 	});
 
-	private LoadPoller(UpstreamTable table, UpstreamRouter routing, TaskFailureHandler guard) {
+	private LoadPoller(UpstreamTable table, UpstreamRouter router, TaskFailureHandler failureHandler) {
 		this.table = table;
-		this.routing = routing;
-		this.guard = guard;
+		this.router = router;
+		this.failureHandler = failureHandler;
 	}
 
 	/**
 	 * Create a poller.
-	 * @param table where reports go
-	 * @param routing hears of upstreams that are leaving
-	 * @param guard watches over background tasks
+	 * @param table receives the reports
+	 * @param router is notified of upstreams that are draining
+	 * @param failureHandler handles failures of background tasks
 	 * @return the poller
 	 */
-	public static LoadPoller create(UpstreamTable table, UpstreamRouter routing, TaskFailureHandler guard) {
-		return new LoadPoller(table, routing, guard);
+	public static LoadPoller create(UpstreamTable table, UpstreamRouter router, TaskFailureHandler failureHandler) {
+		return new LoadPoller(table, router, failureHandler);
 	}
 
 	/**
-	 * Poll every upstream once. Called at each interval; does not block.
+	 * Poll every upstream once. Does not block; called periodically.
 	 */
 	public void pollAll() {
 		if (!this.polling.compareAndSet(false, true)) {
 			return;
 		}
 		List<Upstream> upstreams = this.table.upstreams();
-		AtomicInteger left = new AtomicInteger(upstreams.size());
+		AtomicInteger remaining = new AtomicInteger(upstreams.size());
 		if (upstreams.isEmpty()) {
 			this.polling.set(false);
 		}
 		for (Upstream upstream : upstreams) {
 			this.threads.execute(() -> {
-				this.guard.wrap("load report", () -> poll(upstream)).run();
-				if (left.decrementAndGet() == 0) {
+				this.failureHandler.wrap("load report", () -> poll(upstream)).run();
+				if (remaining.decrementAndGet() == 0) {
 					this.polling.set(false);
 				}
 			});
@@ -87,17 +86,18 @@
 	}
 
 	private void poll(Upstream upstream) {
-		long askedMs = Clocks.SYSTEM.monotonicMs();
+		long requestedMs = Clocks.SYSTEM.monotonicMs();
 		this.pool.call(upstream.address(), HttpCall.get("/load").build(), TIMEOUT_MS)
 			.toOption()
 			.filter(HttpReply::isSuccess)
-			.forEach((reply) -> Json.read(reply.text()).forEach((report) -> take(upstream, report, askedMs)));
+			.forEach((reply) -> Json.read(reply.text()).forEach((report) -> onReport(upstream, report, requestedMs)));
 	}
 
-	private void take(Upstream upstream, JsonNode report, long askedMs) {
-		this.table.onReport(upstream.id(), report.path("running").asInt() + report.path("waiting").asInt(), askedMs);
+	private void onReport(Upstream upstream, JsonNode report, long requestedMs) {
+		this.table.onReport(upstream.id(), report.path("running").asInt() + report.path("waiting").asInt(),
+				requestedMs);
 		if (report.path("state").asText().equals("leaving")) {
-			this.routing.onDraining(upstream.id());
+			this.router.onDraining(upstream.id());
 		}
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/stage/PipelineData.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/PipelineData.java
@@ -3,29 +3,29 @@
 import java.util.List;
 
 /**
- * What the stages of one request have made so far.
+ * Input of a request and the results of its stages so far.
  * <p>
  * Immutable and thread-safe.
  *
- * @param input the caller's question
- * @param maxTokens tokens to generate, at most
- * @param topDocuments documents to go on with
- * @param vector the question's vector; empty before encoding
- * @param documents the documents found; empty before retrieval
- * @param output the answer; empty before the last stage
+ * @param input the caller's input text
+ * @param maxTokens maximum number of tokens to generate
+ * @param topDocuments maximum number of documents to keep after reranking
+ * @param vector embedding of the input; empty before the encode stage
+ * @param documents the retrieved documents; empty before the retrieve stage
+ * @param output the output text; empty before the last stage
  * @since 0.1
  */
 public record PipelineData(String input, int maxTokens, int topDocuments, List<Double> vector, List<Document> documents,
 		String output) {
 
 	/**
-	 * Begin with a question.
-	 * @param input the question
-	 * @param maxTokens tokens to generate, at most
-	 * @param topDocuments documents to go on with
-	 * @return the data before any stage
+	 * Create the data of a request before any stage.
+	 * @param input the caller's input text
+	 * @param maxTokens maximum number of tokens to generate
+	 * @param topDocuments maximum number of documents to keep after reranking
+	 * @return the data
 	 */
-	public static PipelineData begin(String input, int maxTokens, int topDocuments) {
+	public static PipelineData initial(String input, int maxTokens, int topDocuments) {
 		return new PipelineData(input, maxTokens, topDocuments, List.of(), List.of(), "");
 	}
 
--- a/entry/src/main/java/org/tallycart/entry/stage/PlainProtocol.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/PlainProtocol.java
@@ -5,7 +5,7 @@
 import org.tallycart.core.declaration.Service;
 
 /**
- * A plain service: JSON in, JSON with an {@code output} out.
+ * Protocol of a plain service: JSON request, JSON reply with an {@code output} field.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -24,7 +24,7 @@
 	}
 
 	@Override
-	public Either<String, PipelineData> accept(PipelineData data, JsonNode body) {
+	public Either<String, PipelineData> parseReply(PipelineData data, JsonNode body) {
 		JsonNode output = body.path("output");
 		return output.isTextual() ? Either.right(data.withOutput(output.asText())) : Either.left("no output");
 	}
--- a/entry/src/main/java/org/tallycart/entry/stage/RequestContext.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/RequestContext.java
@@ -10,35 +10,35 @@
 import org.tallycart.runtime.process.Clocks;
 
 /**
- * One request on its way through its pipeline.
+ * Context of one request while its pipeline runs.
  * <p>
- * Immutable but for its ledger and cost, which are thread-safe.
+ * Immutable except for the attempt tracker and the cost, which are thread-safe.
  *
  * @param request the request
- * @param state the state of the fleet it sees throughout
- * @param pipeline its pipeline
- * @param workspace its workspace
- * @param policy the policy that governs it
- * @param priority its priority
- * @param arrivedMs when it arrived, by the monotonic clock
- * @param dueMs when it is due, by the monotonic clock
- * @param ledger its attempts
- * @param cost what they cost
+ * @param state the state of the fleet, the same for the whole request
+ * @param pipeline the pipeline
+ * @param workspace the workspace
+ * @param policy the policy of the pipeline
+ * @param priority the priority set by the policy
+ * @param arrivedMs arrival time, in milliseconds of the monotonic clock
+ * @param dueMs deadline, in milliseconds of the monotonic clock
+ * @param attempts tracks the attempts of the request
+ * @param cost sums up the cost of the attempts
  * @since 0.1
  */
 public record RequestContext(CallerRequest request, EntryState state, Pipeline pipeline, Workspace workspace,
-		Policy policy, long priority, long arrivedMs, long dueMs, AttemptTracker ledger, CostMeter cost) {
+		Policy policy, long priority, long arrivedMs, long dueMs, AttemptTracker attempts, CostMeter cost) {
 
 	/**
-	 * Return the time left to the deadline.
-	 * @return milliseconds, negative when the deadline is past
+	 * Return the time left to the deadline of the request.
+	 * @return milliseconds; negative after the deadline
 	 */
 	public long remainingMs() {
 		return this.dueMs - Clocks.SYSTEM.monotonicMs();
 	}
 
 	/**
-	 * Return what a policy may know of the request.
+	 * Return the facts of the request that policies can read.
 	 * @return the facts
 	 */
 	public RequestFacts facts() {
--- a/entry/src/main/java/org/tallycart/entry/stage/RerankProtocol.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/RerankProtocol.java
@@ -10,7 +10,7 @@
 import org.tallycart.core.declaration.Service;
 
 /**
- * Reranking, as {@code /v1/rerank}.
+ * Protocol of reranking services, {@code /v1/rerank}.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -35,7 +35,7 @@
 	}
 
 	@Override
-	public Either<String, PipelineData> accept(PipelineData data, JsonNode body) {
+	public Either<String, PipelineData> parseReply(PipelineData data, JsonNode body) {
 		List<Document> ranked = new ArrayList<>();
 		for (JsonNode result : body.path("results")) {
 			int index = result.path("index").asInt(-1);
@@ -44,9 +44,9 @@
 			}
 			ranked.add(data.documents().get(index));
 		}
-		boolean whole = body.path("results").isArray()
+		boolean complete = body.path("results").isArray()
 				&& ranked.size() == Math.min(data.topDocuments(), data.documents().size());
-		return whole ? Either.right(data.withDocuments(ranked)) : Either.left("results are missing");
+		return complete ? Either.right(data.withDocuments(ranked)) : Either.left("results are missing");
 	}
 
 }
--- a/entry/src/main/java/org/tallycart/entry/stage/RetrieveProtocol.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/RetrieveProtocol.java
@@ -10,7 +10,7 @@
 import org.tallycart.core.declaration.Service;
 
 /**
- * Retrieval, as {@code /v1/retrieve}.
+ * Protocol of retrieval services, {@code /v1/retrieve}.
  * <p>
  * Thread-safe: holds no state.
  *
@@ -36,7 +36,7 @@
 	}
 
 	@Override
-	public Either<String, PipelineData> accept(PipelineData data, JsonNode body) {
+	public Either<String, PipelineData> parseReply(PipelineData data, JsonNode body) {
 		if (!body.path("documents").isArray()) {
 			return Either.left("no documents");
 		}
--- a/entry/src/main/java/org/tallycart/entry/stage/StageConcurrencyLimiter.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/StageConcurrencyLimiter.java
@@ -12,19 +12,19 @@
 import org.tallycart.core.routing.StageQueue;
 
 /**
- * Where requests wait until this VM may have another call in flight at a service.
+ * Limits the calls of this VM in flight at one service; further requests wait in a queue.
  * <p>
- * Invariant: every permit is given back once. Thread-safe.
+ * Invariant: every permit is released exactly once. Thread-safe.
  *
  * @since 0.1
  */
 final class StageConcurrencyLimiter {
 
-	private static final int CAPACITY = 1_000;
+	private static final int QUEUE_CAPACITY = 1_000;
 
 	private final String service;
 
-	private final StageQueue<Waiter> queue = StageQueue.create(CAPACITY, 1);
+	private final StageQueue<Waiter> queue = StageQueue.create(QUEUE_CAPACITY, 1);
 
 	StageConcurrencyLimiter(String service) {
 		this.service = service;
@@ -32,21 +32,21 @@
 
 	/**
 	 * Wait for a permit.
-	 * @param work who waits
-	 * @param limit calls this VM may have in flight
-	 * @param patienceMs how long waiting is of use
-	 * @return the permit, or why there is none
+	 * @param work the request to queue
+	 * @param limit maximum number of calls of this VM in flight
+	 * @param maxWaitMs maximum wait, in milliseconds
+	 * @return the permit, or the reason for the refusal
 	 */
-	Either<Reason, Permit> acquire(StageQueue.Work<Waiter> work, int limit, long patienceMs) {
+	Either<Reason, Permit> acquire(StageQueue.Work<Waiter> work, int limit, long maxWaitMs) {
 		Waiter waiter = work.payload();
 		synchronized (this) {
 			this.queue.setLimit(limit);
 			Optional<StageQueue.Item<Waiter>> displaced = this.queue.offer(work);
-			displaced.ifPresent((item) -> item.payload().decided.complete(Decision.DISPLACED));
+			displaced.ifPresent((item) -> item.payload().decision.complete(Decision.DISPLACED));
 			dispatch();
 		}
-		return switch (waiter.await(patienceMs)) {
-			case LET_GO -> Either.right(new Permit(this));
+		return switch (waiter.await(maxWaitMs)) {
+			case ADMITTED -> Either.right(new Permit(this));
 			case DISPLACED -> Either.left(Reason.QUEUE_FULL);
 			case PENDING -> withdraw(waiter);
 		};
@@ -58,14 +58,14 @@
 				return Either.left(Reason.DEADLINE);
 			}
 		}
-		// It was decided just now.
-		return (waiter.await(0) == Decision.LET_GO) ? Either.right(new Permit(this)) : Either.left(Reason.QUEUE_FULL);
+		// The decision was made between the timeout and the cancellation.
+		return (waiter.await(0) == Decision.ADMITTED) ? Either.right(new Permit(this)) : Either.left(Reason.QUEUE_FULL);
 	}
 
 	private void dispatch() {
 		Optional<StageQueue.Item<Waiter>> next = this.queue.poll();
 		while (next.isPresent()) {
-			next.get().payload().decided.complete(Decision.LET_GO);
+			next.get().payload().decision.complete(Decision.ADMITTED);
 			next = this.queue.poll();
 		}
 	}
@@ -76,11 +76,11 @@
 	}
 
 	/**
-	 * Describe the load a request would meet.
+	 * Return the load that a new request would encounter.
 	 * @param workspace the request's workspace
 	 * @param priority the request's priority
-	 * @param expectedMs how long one call can be expected to take
-	 * @param limit calls this VM may have in flight
+	 * @param expectedMs expected time of one call, in milliseconds
+	 * @param limit maximum number of calls of this VM in flight
 	 * @return the load
 	 */
 	synchronized LoadFacts load(String workspace, long priority, long expectedMs, int limit) {
@@ -90,21 +90,21 @@
 		return new LoadFacts(this.service, this.queue.waitingCount(), this.queue.inFlightCount(), limit, waitMs);
 	}
 
-	/** What became of one that waits. */
+	/** Decision on a waiting request. */
 	private enum Decision {
 
-		PENDING, LET_GO, DISPLACED
+		PENDING, ADMITTED, DISPLACED
 
 	}
 
-	/** One that waits. Thread-safe. */
+	/** Waiting request. Thread-safe. */
 	static final class Waiter {
 
-		private final CompletableFuture<Decision> decided = new CompletableFuture<>();
+		private final CompletableFuture<Decision> decision = new CompletableFuture<>();
 
 		private Decision await(long millis) {
 			try {
-				return this.decided.get(Math.max(millis, 0), TimeUnit.MILLISECONDS);
+				return this.decision.get(Math.max(millis, 0), TimeUnit.MILLISECONDS);
 			}
 			catch (TimeoutException ex) {
 				return Decision.PENDING;
@@ -114,24 +114,24 @@
 				return Decision.PENDING;
 			}
 			catch (ExecutionException ex) {
-				throw new IllegalStateException("a decision never fails", ex);
+				throw new IllegalStateException("queue decision completed exceptionally", ex);
 			}
 		}
 
 	}
 
-	/** Leave to have a call in flight. */
+	/** Permit for one call in flight, released by {@link #close()}. */
 	static final class Permit implements AutoCloseable {
 
-		private final StageConcurrencyLimiter gate;
+		private final StageConcurrencyLimiter limiter;
 
-		private Permit(StageConcurrencyLimiter gate) {
-			this.gate = gate;
+		private Permit(StageConcurrencyLimiter limiter) {
+			this.limiter = limiter;
 		}
 
 		@Override
 		public void close() {
-			this.gate.release();
+			this.limiter.release();
 		}
 
 	}
--- a/entry/src/main/java/org/tallycart/entry/stage/StageContext.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/StageContext.java
@@ -7,18 +7,18 @@
 import org.tallycart.runtime.event.EventLog;
 
 /**
- * What stage calls share.
+ * Dependencies shared by all stage calls.
  * <p>
- * Immutable; each part is thread-safe.
+ * Immutable; all components are thread-safe.
  *
- * @param routing chooses upstreams
- * @param times how long calls take
- * @param pool idle connections
- * @param budget limits extra attempts
- * @param events the process's events
+ * @param router chooses upstreams
+ * @param latencies estimates the latency of calls
+ * @param pool pools connections to upstreams
+ * @param retryBudget limits retries and hedged attempts
+ * @param events the event log of the process
  * @param executor runs attempts
  * @since 0.1
  */
-public record StageContext(UpstreamRouter routing, StageLatencyEstimator times, HttpConnectionPool pool,
-		RetryBudget budget, EventLog events, ExecutorService executor) {
+public record StageContext(UpstreamRouter router, StageLatencyEstimator latencies, HttpConnectionPool pool,
+		RetryBudget retryBudget, EventLog events, ExecutorService executor) {
 }
--- a/entry/src/main/java/org/tallycart/entry/stage/StageProtocol.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/StageProtocol.java
@@ -5,7 +5,7 @@
 import org.tallycart.core.declaration.Service;
 
 /**
- * How one kind of service is called: its request and what its answer means.
+ * Protocol of one kind of service: creates requests and interprets replies.
  * <p>
  * Implementations are thread-safe and hold no state.
  *
@@ -14,26 +14,26 @@
 interface StageProtocol {
 
 	/**
-	 * Return the path of calls.
+	 * Return the path of requests.
 	 * @param service the service
 	 * @return the path
 	 */
 	String path(Service service);
 
 	/**
-	 * Make a call's body.
-	 * @param data what the stages have made so far
+	 * Create the body of a request.
+	 * @param data the input and the results of the stages so far
 	 * @param service the service
 	 * @return the body
 	 */
 	JsonNode request(PipelineData data, Service service);
 
 	/**
-	 * Read an answer.
-	 * @param data what the stages have made so far
-	 * @param body the answer's body
-	 * @return the data with this stage's result, or why the answer is not whole
+	 * Parse a reply and add its result to the data.
+	 * @param data the input and the results of the stages so far
+	 * @param body the body of the reply
+	 * @return the data with this stage's result, or a description of what the reply lacks
 	 */
-	Either<String, PipelineData> accept(PipelineData data, JsonNode body);
+	Either<String, PipelineData> parseReply(PipelineData data, JsonNode body);
 
 }
--- a/entry/src/main/java/org/tallycart/entry/stage/StageRunner.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/StageRunner.java
@@ -18,87 +18,87 @@
 import org.tallycart.core.routing.StageQueue;
 
 /**
- * Runs the stages of a pipeline, one after the other.
+ * Runs the stages of a pipeline in order.
  * <p>
- * Before each stage the time left is held against what the stages still to come can be
- * expected to take: a request that cannot end in time stops before it costs more.
+ * Before each stage, compares the time left with the expected time of the remaining
+ * stages; a request that cannot finish in time ends before it causes further cost.
  * Thread-safe.
  *
  * @since 0.1
  */
 public final class StageRunner {
 
-	static final long COME_BACK_MS = 1_000;
+	static final long RETRY_AFTER_MS = 1_000;
 
-	private static final long SHORTEST_COME_BACK_MS = 100;
+	private static final long MIN_RETRY_AFTER_MS = 100;
 
-	private final StageContext tools;
+	private final StageContext shared;
 
 	private final double overcommit;
 
-	private final Map<String, StageConcurrencyLimiter> gates = new ConcurrentHashMap<>();
+	private final Map<String, StageConcurrencyLimiter> limiters = new ConcurrentHashMap<>();
 
-	private StageRunner(StageContext tools, double overcommit) {
-		this.tools = tools;
+	private StageRunner(StageContext shared, double overcommit) {
+		this.shared = shared;
 		this.overcommit = overcommit;
 	}
 
 	/**
 	 * Create a runner.
-	 * @param tools what stage calls share
-	 * @param overcommit calls in flight for each slot of a service, over all VMs
+	 * @param shared dependencies shared by all stage calls
+	 * @param overcommit calls in flight per slot of a service, over all VMs
 	 * @return the runner
 	 */
-	public static StageRunner create(StageContext tools, double overcommit) {
-		return new StageRunner(tools, overcommit);
+	public static StageRunner create(StageContext shared, double overcommit) {
+		return new StageRunner(shared, overcommit);
 	}
 
 	/**
-	 * Decide, before any stage runs, whether the request can end in time.
+	 * Decide, before any stage runs, whether the request can finish in time.
 	 * @param context the request
-	 * @return how it ends if it cannot; otherwise right
+	 * @return the context, or the result if the request is refused
 	 */
 	public Either<RequestResult, RequestContext> admit(RequestContext context) {
 		long expected = 0;
 		for (Service service : services(context)) {
-			long own = this.tools.times().expectedMs(service, context.request().maxTokens());
-			LoadFacts load = gate(service).load(context.request().workspace(), context.priority(), own,
-					limit(context, service));
-			expected += own + load.waitMs();
+			long expectedMs = this.shared.latencies().expectedMs(service, context.request().maxTokens());
+			LoadFacts load = limiter(service).load(context.request().workspace(), context.priority(), expectedMs,
+					maxInFlight(context, service));
+			expected += expectedMs + load.waitMs();
 			if (context.policy().shed(context.facts(), load)) {
 				return Either.left(new RequestResult(Outcome.NOT_RUN, Reason.SHED, "shed at " + service.id(),
-						Math.max(load.waitMs(), SHORTEST_COME_BACK_MS)));
+						Math.max(load.waitMs(), MIN_RETRY_AFTER_MS)));
 			}
 		}
 		if (expected > context.remainingMs()) {
 			return Either.left(new RequestResult(Outcome.NOT_RUN, Reason.DEADLINE,
-					"the stages can be expected to take " + expected + " ms", COME_BACK_MS));
+					"the stages can be expected to take " + expected + " ms", RETRY_AFTER_MS));
 		}
 		return Either.right(context);
 	}
 
 	/**
-	 * Run every stage but a last one that generates.
+	 * Run all stages except a generation.
 	 * @param context the request
-	 * @return what the stages made, or how the request ends
+	 * @return the results of the stages, or the result of the request if a stage failed
 	 */
 	public Either<RequestResult, PipelineData> runUnaryStages(RequestContext context) {
-		Either<RequestResult, PipelineData> data = Either.right(PipelineData.begin(context.request().input(),
+		Either<RequestResult, PipelineData> data = Either.right(PipelineData.initial(context.request().input(),
 				context.request().maxTokens(), context.pipeline().topDocuments()));
 		List<Service> services = services(context);
 		for (int i = 0; i < services.size() && data.isRight(); i++) {
 			Service service = services.get(i);
 			if (service.kind() != StageKind.GENERATE) {
-				PipelineData before = data.get();
-				data = gated(context, services.subList(i, services.size()),
-						() -> new UnaryStage(this.tools, context, service, before).run());
+				PipelineData input = data.get();
+				data = runLimited(context, services.subList(i, services.size()),
+						() -> new UnaryStage(this.shared, context, service, input).run());
 			}
 		}
 		return data;
 	}
 
 	/**
-	 * Return whether the pipeline's last stage generates.
+	 * Return whether the last stage of the pipeline is a generation.
 	 * @param context the request
 	 * @return true if it does
 	 */
@@ -108,55 +108,55 @@
 	}
 
 	/**
-	 * Run the last stage, which generates.
+	 * Run the last stage, a generation.
 	 * @param context the request
-	 * @param data what the stages before it made
-	 * @param sink takes the text
-	 * @return the text and when it began, or how the request ends
+	 * @param data the results of the earlier stages
+	 * @param sink receives the text
+	 * @return the text, or the result of the request if the generation failed
 	 */
 	public Either<RequestResult, Generated> generate(RequestContext context, PipelineData data, TextSink sink) {
 		List<Service> services = services(context);
 		Service service = services.get(services.size() - 1);
-		GenerationStage stage = new GenerationStage(this.tools, context, service, data, sink);
-		return gated(context, List.of(service), stage::run)
-			.map((made) -> new Generated(made.output(), stage.firstTokenMs()));
+		GenerationStage stage = new GenerationStage(this.shared, context, service, data, sink);
+		return runLimited(context, List.of(service), stage::run)
+			.map((generated) -> new Generated(generated.output(), stage.firstTokenMs()));
 	}
 
-	private Either<RequestResult, PipelineData> gated(RequestContext context, List<Service> rest,
+	private Either<RequestResult, PipelineData> runLimited(RequestContext context, List<Service> remaining,
 			Supplier<Either<RequestResult, PipelineData>> call) {
-		Service service = rest.get(0);
+		Service service = remaining.get(0);
 		List<Long> expected = new ArrayList<>();
-		rest.forEach((next) -> expected.add(this.tools.times().expectedMs(next, context.request().maxTokens())));
+		remaining
+			.forEach((next) -> expected.add(this.shared.latencies().expectedMs(next, context.request().maxTokens())));
 		if (!DeadlineSplit.fits(context.remainingMs(), expected)) {
-			return Either.left(hopeless(service));
+			return Either.left(deadlineUnreachable(service));
 		}
-		long needed = expected.stream().mapToLong(Long::longValue).sum();
+		long expectedTotalMs = expected.stream().mapToLong(Long::longValue).sum();
 		StageQueue.Work<StageConcurrencyLimiter.Waiter> work = new StageQueue.Work<>(
 				new StageConcurrencyLimiter.Waiter(), context.request().workspace(), context.workspace().weight(),
 				context.priority(), context.dueMs(), Math.max(expected.get(0), 1));
-		Either<Reason, StageConcurrencyLimiter.Permit> permit = gate(service).acquire(work, limit(context, service),
-				context.remainingMs() - needed);
+		Either<Reason, StageConcurrencyLimiter.Permit> permit = limiter(service).acquire(work,
+				maxInFlight(context, service), context.remainingMs() - expectedTotalMs);
 		if (permit.isLeft()) {
-			return Either
-				.left((permit.getLeft() == Reason.DEADLINE) ? hopeless(service) : new RequestResult(Outcome.NOT_RUN,
-						permit.getLeft(), "the queue of " + service.id() + " is full", COME_BACK_MS));
+			return Either.left((permit.getLeft() == Reason.DEADLINE) ? deadlineUnreachable(service) : new RequestResult(
+					Outcome.NOT_RUN, permit.getLeft(), "the queue of " + service.id() + " is full", RETRY_AFTER_MS));
 		}
 		try (StageConcurrencyLimiter.Permit held = permit.get()) {
 			return call.get();
 		}
 	}
 
-	private static RequestResult hopeless(Service service) {
+	private static RequestResult deadlineUnreachable(Service service) {
 		return new RequestResult(Outcome.NOT_RUN, Reason.DEADLINE, "too little time is left at " + service.id(),
-				COME_BACK_MS);
+				RETRY_AFTER_MS);
 	}
 
-	private StageConcurrencyLimiter gate(Service service) {
-		return this.gates.computeIfAbsent(service.id(), StageConcurrencyLimiter::new);
+	private StageConcurrencyLimiter limiter(Service service) {
+		return this.limiters.computeIfAbsent(service.id(), StageConcurrencyLimiter::new);
 	}
 
-	private int limit(RequestContext context, Service service) {
-		return this.tools.routing().maxInFlight(service, context.state().activeVms(), this.overcommit);
+	private int maxInFlight(RequestContext context, Service service) {
+		return this.shared.router().maxInFlight(service, context.state().activeVms(), this.overcommit);
 	}
 
 	private static List<Service> services(RequestContext context) {
@@ -169,10 +169,11 @@
 	}
 
 	/**
-	 * A generated text.
+	 * Result of a generation.
 	 *
 	 * @param text the text
-	 * @param firstTokenMs how long after its arrival the request had its first token
+	 * @param firstTokenMs time from the arrival of the request to its first token, in
+	 * milliseconds; -1 if there was none
 	 */
 	public record Generated(String text, long firstTokenMs) {
 	}
--- a/entry/src/main/java/org/tallycart/entry/stage/TextSink.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/TextSink.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /**
- * Takes generated text piece by piece.
+ * Receives generated text in pieces.
  *
  * @since 0.1
  */
@@ -11,9 +11,9 @@
 public interface TextSink {
 
 	/**
-	 * Take a piece.
-	 * @param piece the piece
-	 * @throws IOException if the caller is gone
+	 * Receive the next piece of text.
+	 * @param piece the text
+	 * @throws IOException if the caller has disconnected
 	 */
 	void onText(String piece) throws IOException;
 
--- a/entry/src/main/java/org/tallycart/entry/stage/UnaryStage.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/UnaryStage.java
@@ -26,11 +26,12 @@
 import org.tallycart.runtime.process.Clocks;
 
 /**
- * A stage call that is answered as a whole: one attempt, and more within the retry budget
- * where the request may be repeated, after a failure or beside a slow attempt.
+ * Runs a stage call that has a single reply: one attempt, and further attempts within the
+ * retry budget, as retries after a failure or as hedges of a slow attempt. Only
+ * repeatable requests are hedged.
  * <p>
- * Invariant: one result at most is taken, by the ledger. Not thread-safe: one instance
- * runs one stage call, on the request's thread.
+ * Invariant: at most one result is accepted, as decided by the attempt tracker. Not
+ * thread-safe: one instance runs one stage call, on the request's thread.
  *
  * @since 0.1
  */
@@ -40,7 +41,7 @@
 			Map.of(StageKind.ENCODE, new EncodeProtocol(), StageKind.RETRIEVE, new RetrieveProtocol(), StageKind.RERANK,
 					new RerankProtocol(), StageKind.PLAIN, new PlainProtocol()));
 
-	private final StageContext tools;
+	private final StageContext shared;
 
 	private final RequestContext context;
 
@@ -60,8 +61,8 @@
 
 	private @Nullable AttemptFailure lastFailure;
 
-	UnaryStage(StageContext tools, RequestContext context, Service service, PipelineData data) {
-		this.tools = tools;
+	UnaryStage(StageContext shared, RequestContext context, Service service, PipelineData data) {
+		this.shared = shared;
 		this.context = context;
 		this.service = service;
 		this.data = data;
@@ -70,42 +71,42 @@
 
 	/**
 	 * Run the call.
-	 * @return the data with the stage's result, or how the request ends
+	 * @return the data with the stage's result, or the result if the call failed
 	 */
 	Either<RequestResult, PipelineData> run() {
-		this.tools.budget().onFirstAttempt();
+		this.shared.retryBudget().onFirstAttempt();
 		if (!launch()) {
 			return Either.left(noUpstream());
 		}
-		long slowMs = this.tools.times().hedgeDelayMs(this.service);
-		boolean mayHedge = this.context.request().repeatable();
+		long hedgeDelayMs = this.shared.latencies().hedgeDelayMs(this.service);
+		boolean hedgingAllowed = this.context.request().repeatable();
 		while (true) {
 			long remaining = this.context.remainingMs();
-			boolean hedgeLater = mayHedge && slowMs < remaining;
-			AttemptResult result = next(hedgeLater ? slowMs : remaining);
-			if (result == null && !hedgeLater) {
+			boolean canHedge = hedgingAllowed && hedgeDelayMs < remaining;
+			AttemptResult result = pollResult(canHedge ? hedgeDelayMs : remaining);
+			if (result == null && !canHedge) {
 				abandonAll(CostMeter.Use.ABANDONED);
 				return Either.left(RequestResult.of(Outcome.FAILED, Reason.DEADLINE,
 						this.service.id() + " did not answer in time"));
 			}
 			if (result == null) {
-				mayHedge = launchExtra();
+				hedgingAllowed = tryLaunchExtra();
 				continue;
 			}
 			if (result.outcome().isRight()) {
-				Optional<PipelineData> taken = take(result, result.outcome().get());
-				if (taken.isPresent()) {
-					return Either.right(taken.get());
+				Optional<PipelineData> accepted = accept(result, result.outcome().get());
+				if (accepted.isPresent()) {
+					return Either.right(accepted.get());
 				}
 			}
-			boolean goesOn = result.outcome().isRight() || onFailure(result, result.outcome().getLeft());
-			if (!goesOn) {
-				return Either.left(ending());
+			boolean pending = result.outcome().isRight() || onFailure(result, result.outcome().getLeft());
+			if (!pending) {
+				return Either.left(failureResult());
 			}
 		}
 	}
 
-	private @Nullable AttemptResult next(long waitMs) {
+	private @Nullable AttemptResult pollResult(long waitMs) {
 		try {
 			return this.results.poll(Math.max(waitMs, 0), TimeUnit.MILLISECONDS);
 		}
@@ -115,57 +116,58 @@
 		}
 	}
 
-	private Optional<PipelineData> take(AttemptResult result, PipelineData made) {
-		forget(result.number());
-		if (!this.context.ledger().accept(result.number())) {
-			this.tools.events()
+	private Optional<PipelineData> accept(AttemptResult result, PipelineData output) {
+		removeRunning(result.number());
+		if (!this.context.attempts().accept(result.number())) {
+			this.shared.events()
 				.emit(EventCode.ANSWER_DROPPED, this.context.request().id(),
 						this.service.id() + " attempt " + result.number());
 			return Optional.empty();
 		}
 		this.context.cost().add(this.service, CostMeter.Use.USEFUL, 0);
 		abandonAll(CostMeter.Use.HEDGED);
-		return Optional.of(made);
+		return Optional.of(output);
 	}
 
 	private boolean onFailure(AttemptResult result, AttemptFailure failure) {
-		forget(result.number());
-		this.context.ledger().close(result.number(), failure.state());
+		removeRunning(result.number());
+		this.context.attempts().close(result.number(), failure.state());
 		this.lastFailure = failure;
 		if (failure.reason() == Reason.DEADLINE) {
 			abandonAll(CostMeter.Use.ABANDONED);
 			return false;
 		}
-		boolean again = mayRepeat(failure) && launchExtra();
-		this.context.cost().add(this.service, again ? CostMeter.Use.RETRIED : CostMeter.Use.ABANDONED, 0);
-		return again || !this.running.isEmpty();
+		boolean retry = isRetryable(failure) && tryLaunchExtra();
+		this.context.cost().add(this.service, retry ? CostMeter.Use.RETRIED : CostMeter.Use.ABANDONED, 0);
+		return retry || !this.running.isEmpty();
 	}
 
-	private boolean mayRepeat(AttemptFailure failure) {
+	private boolean isRetryable(AttemptFailure failure) {
 		return this.context.request().repeatable() || failure.state() == AttemptState.REFUSED
-				|| this.context.ledger().begunCount() == 0;
+				|| this.context.attempts().begunCount() == 0;
 	}
 
-	private boolean launchExtra() {
-		boolean allowed = this.launched < this.context.pipeline().maxAttempts() && this.tools.budget().tryAcquire();
+	private boolean tryLaunchExtra() {
+		boolean allowed = this.launched < this.context.pipeline().maxAttempts()
+				&& this.shared.retryBudget().tryAcquire();
 		return allowed && launch();
 	}
 
 	private boolean launch() {
-		Optional<Upstream> upstream = this.tools.routing().choose(this.context, this.service, this.tried);
+		Optional<Upstream> upstream = this.shared.router().choose(this.context, this.service, this.tried);
 		if (upstream.isEmpty()) {
 			return false;
 		}
 		this.tried.add(upstream.get().id());
-		int number = this.context.ledger().plan(this.service.id());
-		UpstreamCall call = new UpstreamCall(this.context, this.service, upstream.get(), number, this.tools.pool());
+		int number = this.context.attempts().plan(this.service.id());
+		UpstreamCall call = new UpstreamCall(this.context, this.service, upstream.get(), number, this.shared.pool());
 		this.launched++;
 		this.running.add(call);
 		try {
-			this.tools.executor().execute(() -> this.results.add(attempt(call)));
+			this.shared.executor().execute(() -> this.results.add(attempt(call)));
 		}
 		catch (RejectedExecutionException ex) {
-			this.tools.routing().onFailure(call.upstream(), false, "");
+			this.shared.router().onFailure(call.upstream(), false, "");
 			this.results.add(new AttemptResult(number, call.upstream(), Either
 				.left(new AttemptFailure(AttemptState.ABANDONED, Reason.QUEUE_FULL, "no thread is free", false))));
 		}
@@ -174,68 +176,67 @@
 
 	private AttemptResult attempt(UpstreamCall call) {
 		String request = this.context.request().id();
-		this.tools.events()
+		this.shared.events()
 			.emit(EventCode.ATTEMPT_BEGAN, request,
 					this.service.id() + "#" + call.number() + " at " + call.upstream().id());
-		long beganMs = Clocks.SYSTEM.monotonicMs();
+		long startedMs = Clocks.SYSTEM.monotonicMs();
 		HttpCall.Builder post = HttpCall.post(this.protocol.path(this.service),
 				Json.bytes(this.protocol.request(this.data, this.service)));
 		Either<AttemptFailure, PipelineData> outcome = call.open(post, this.context.remainingMs())
-			.flatMap((stream) -> stream.readFully().mapLeft(call::failure))
+			.flatMap((stream) -> stream.readFully().mapLeft(call::toAttemptFailure))
 			.flatMap((reply) -> Json.read(reply.text())
-				.flatMap((body) -> this.protocol.accept(this.data, body))
-				.mapLeft(AttemptFailure::error));
-		call.finish();
-		note(call, outcome, Clocks.SYSTEM.monotonicMs() - beganMs);
-		this.tools.events()
+				.flatMap((body) -> this.protocol.parseReply(this.data, body))
+				.mapLeft(AttemptFailure::upstreamError));
+		call.releaseConnection();
+		recordOutcome(call, outcome, Clocks.SYSTEM.monotonicMs() - startedMs);
+		this.shared.events()
 			.emit(EventCode.ATTEMPT_ENDED, request, this.service.id() + "#" + call.number() + " at "
-					+ call.upstream().id() + outcome.fold((failure) -> " " + failure.message(), (made) -> " ok"));
+					+ call.upstream().id() + outcome.fold((failure) -> " " + failure.message(), (output) -> " ok"));
 		return new AttemptResult(call.number(), call.upstream(), outcome);
 	}
 
-	private void note(UpstreamCall call, Either<AttemptFailure, PipelineData> outcome, long millis) {
+	private void recordOutcome(UpstreamCall call, Either<AttemptFailure, PipelineData> outcome, long millis) {
 		if (outcome.isRight()) {
-			this.tools.times().addCall(this.service, millis);
-			this.tools.routing().onSuccess(this.service, call.upstream(), 1, millis);
+			this.shared.latencies().addCall(this.service, millis);
+			this.shared.router().onSuccess(this.service, call.upstream(), 1, millis);
 			return;
 		}
-		if (call.cancelled() && outcome.getLeft().state() == AttemptState.ABANDONED) {
-			// Another attempt was faster, or the deadline came: this one took at least so
-			// long.
-			this.tools.routing().onTimeout(this.service, call.upstream(), 1, millis);
+		if (call.isCancelled() && outcome.getLeft().state() == AttemptState.ABANDONED) {
+			// The attempt was cancelled, so its time is only a lower bound.
+			this.shared.router().onTimeout(this.service, call.upstream(), 1, millis);
 			return;
 		}
-		if (outcome.getLeft().message().equals(UpstreamCall.LEAVING)) {
-			this.tools.routing().onDraining(call.upstream().id());
+		if (outcome.getLeft().message().equals(UpstreamCall.DRAINING)) {
+			this.shared.router().onDraining(call.upstream().id());
 		}
-		this.tools.routing().onFailure(call.upstream(), outcome.getLeft().blame(), outcome.getLeft().message());
+		this.shared.router().onFailure(call.upstream(), outcome.getLeft().blame(), outcome.getLeft().message());
 	}
 
 	private void abandonAll(CostMeter.Use use) {
 		for (UpstreamCall call : this.running) {
-			this.context.ledger().close(call.number(), AttemptState.ABANDONED);
+			this.context.attempts().close(call.number(), AttemptState.ABANDONED);
 			this.context.cost().add(this.service, use, 0);
 			call.cancel();
 		}
 		this.running.clear();
 	}
 
-	private void forget(int number) {
+	private void removeRunning(int number) {
 		this.running.removeIf((call) -> call.number() == number);
 	}
 
 	private RequestResult noUpstream() {
 		return new RequestResult(Outcome.NOT_RUN, Reason.NO_UPSTREAM,
-				"no upstream of " + this.service.id() + " can be used", StageRunner.COME_BACK_MS);
+				"no upstream of " + this.service.id() + " can be used", StageRunner.RETRY_AFTER_MS);
 	}
 
-	private RequestResult ending() {
+	private RequestResult failureResult() {
 		AttemptFailure failure = this.lastFailure;
 		if (failure == null) {
 			return noUpstream();
 		}
 		return new RequestResult(Outcome.NOT_RUN, failure.reason(), this.service.id() + ": " + failure.message(),
-				StageRunner.COME_BACK_MS);
+				StageRunner.RETRY_AFTER_MS);
 	}
 
 }
--- a/entry/src/main/java/org/tallycart/entry/stage/UpstreamCall.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/UpstreamCall.java
@@ -14,10 +14,10 @@
 import org.tallycart.http.StreamedReply;
 
 /**
- * One attempt's call at one upstream: connects, notes in the ledger that the attempt
- * begins, and only then sends.
+ * Call of one attempt to one upstream: connects, records that the attempt begins, and
+ * only then sends the request.
  * <p>
- * {@link #cancel()} may be called from any thread; the rest from one.
+ * {@link #cancel()} may be called from any thread; all other methods from one thread.
  *
  * @since 0.1
  */
@@ -27,7 +27,7 @@
 
 	private static final int TOO_MANY_REQUESTS = 429;
 
-	private static final int SERVER_ERROR = 5;
+	private static final int SERVER_ERROR_CLASS = 5;
 
 	private final RequestContext context;
 
@@ -52,10 +52,11 @@
 	}
 
 	/**
-	 * Send the call and wait for the head of its answer.
-	 * @param call the call, without the fields that every call has
-	 * @param timeoutMs how long to wait for bytes
-	 * @return the answer, of success and for this attempt, or why there is none
+	 * Send the call and wait for the head of its reply.
+	 * @param call the call, without the header fields that every call has
+	 * @param timeoutMs maximum wait for bytes, in milliseconds
+	 * @return the reply, with a status of success and the id of this attempt, or the
+	 * failure
 	 */
 	Either<AttemptFailure, StreamedReply> open(HttpCall.Builder call, long timeoutMs) {
 		long connectMs = Math.min(CONNECT_TIMEOUT_MS, Math.max(timeoutMs, 1));
@@ -63,18 +64,18 @@
 				? this.pool.lease(this.upstream.address(), connectMs)
 				: HttpConnection.connect(this.upstream.address(), connectMs);
 		if (leased.isLeft()) {
-			return Either.left(AttemptFailure.notBegun(leased.getLeft().message()));
+			return Either.left(AttemptFailure.notStarted(leased.getLeft().message()));
 		}
 		this.connection = Optional.of(leased.get());
-		if (this.cancelled || !this.context.ledger().begin(this.number)) {
+		if (this.cancelled || !this.context.attempts().begin(this.number)) {
 			this.pool.release(leased.get());
-			return Either.left(AttemptFailure.notBegun("the attempt was given up before it began"));
+			return Either.left(AttemptFailure.notStarted("the attempt was given up before it began"));
 		}
 		Either<HttpFailure, StreamedReply> opened = leased.get().callStreaming(withFields(call).build(), timeoutMs);
 		if (opened.isLeft()) {
-			return Either.left(failure(opened.getLeft()));
+			return Either.left(toAttemptFailure(opened.getLeft()));
 		}
-		return check(opened.get());
+		return checkReply(opened.get());
 	}
 
 	private HttpCall.Builder withFields(HttpCall.Builder call) {
@@ -88,56 +89,56 @@
 		return this.context.request().id() + "/" + this.service.id() + "/" + this.number;
 	}
 
-	private Either<AttemptFailure, StreamedReply> check(StreamedReply answer) {
-		String answered = answer.field("X-Request-Id").orElse(attemptId());
-		if (!answered.equals(attemptId())) {
+	private Either<AttemptFailure, StreamedReply> checkReply(StreamedReply reply) {
+		String repliedId = reply.field("X-Request-Id").orElse(attemptId());
+		if (!repliedId.equals(attemptId())) {
 			cancel();
 			return Either.left(new AttemptFailure(AttemptState.ABANDONED, Reason.UPSTREAM_ERROR,
-					"the answer is for " + answered, true));
+					"the answer is for " + repliedId, true));
 		}
-		if (answer.status() / 100 == 2) {
-			return Either.right(answer);
+		if (reply.status() / 100 == 2) {
+			return Either.right(reply);
 		}
 		cancel();
-		boolean isLeaving = answer.field("X-Upstream-State").filter("leaving"::equals).isPresent();
-		if (isLeaving) {
-			return Either.left(AttemptFailure.refused(LEAVING));
+		boolean draining = reply.field("X-Upstream-State").filter("leaving"::equals).isPresent();
+		if (draining) {
+			return Either.left(AttemptFailure.refused(DRAINING));
 		}
-		String message = "status " + answer.status();
-		if (answer.status() == TOO_MANY_REQUESTS) {
+		String message = "status " + reply.status();
+		if (reply.status() == TOO_MANY_REQUESTS) {
 			return Either.left(AttemptFailure.refused(message));
 		}
-		boolean uncertain = answer.status() / 100 == SERVER_ERROR && !this.context.request().repeatable();
-		return Either.left(uncertain ? AttemptFailure.lost(message) : AttemptFailure.error(message));
+		boolean uncertain = reply.status() / 100 == SERVER_ERROR_CLASS && !this.context.request().repeatable();
+		return Either.left(uncertain ? AttemptFailure.connectionLost(message) : AttemptFailure.upstreamError(message));
 	}
 
-	/** Message of the refusal of an upstream that is leaving. */
-	static final String LEAVING = "the upstream is leaving";
+	/** Message of the failure when an upstream refuses because it is draining. */
+	static final String DRAINING = "the upstream is leaving";
 
-	AttemptFailure failure(HttpFailure failure) {
+	AttemptFailure toAttemptFailure(HttpFailure failure) {
 		if (this.context.remainingMs() <= 0) {
-			return AttemptFailure.ofDeadline();
+			return AttemptFailure.deadlineExceeded();
 		}
-		return this.cancelled ? AttemptFailure.cancelled() : AttemptFailure.lost(failure.message());
+		return this.cancelled ? AttemptFailure.cancelled() : AttemptFailure.connectionLost(failure.message());
 	}
 
 	/**
-	 * Return whether the call was given up while it ran.
+	 * Return whether the call was cancelled.
 	 * @return true after {@link #cancel()}
 	 */
-	boolean cancelled() {
+	boolean isCancelled() {
 		return this.cancelled;
 	}
 
 	/**
-	 * Give the connection back after an answer that was read to its end.
+	 * Release the connection after the reply was read to its end.
 	 */
-	void finish() {
+	void releaseConnection() {
 		this.connection.ifPresent(this.pool::release);
 	}
 
 	/**
-	 * Give the call up: cut its connection, which also tells the upstream to stop.
+	 * Cancel the call and close its connection, so that the upstream stops its work.
 	 */
 	void cancel() {
 		this.cancelled = true;
--- a/entry/src/main/java/org/tallycart/entry/stage/UpstreamRouter.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/UpstreamRouter.java
@@ -26,7 +26,7 @@
 import org.tallycart.runtime.process.Clocks;
 
 /**
- * Chooses upstreams and keeps what is known of them.
+ * Chooses upstreams for calls and updates their state from the results.
  * <p>
  * Thread-safe.
  *
@@ -40,14 +40,14 @@
 
 	private final EventLog events;
 
-	private final Consumer<String> onLeaving;
+	private final Consumer<String> drainingListener;
 
 	private final Map<BalancerKind, Balancer> balancers = new EnumMap<>(BalancerKind.class);
 
-	private UpstreamRouter(UpstreamTable table, EventLog events, Consumer<String> onLeaving) {
+	private UpstreamRouter(UpstreamTable table, EventLog events, Consumer<String> drainingListener) {
 		this.table = table;
 		this.events = events;
-		this.onLeaving = onLeaving;
+		this.drainingListener = drainingListener;
 		this.balancers.put(BalancerKind.LEAST_LOAD_AGED, LeastLoadBalancer.withAgeDiscount(REPORT_HALF_LIFE_MS));
 		this.balancers.put(BalancerKind.TWO_CHOICES_AGED, TwoChoicesBalancer.withAgeDiscount(REPORT_HALF_LIFE_MS));
 		this.balancers.put(BalancerKind.TWO_CHOICES, TwoChoicesBalancer.withoutAgeDiscount());
@@ -57,21 +57,21 @@
 
 	/**
 	 * Create a router.
-	 * @param table what is known of upstreams
-	 * @param events the process's events
-	 * @param onLeaving hears of an upstream that says it is leaving
+	 * @param table the state of the upstreams
+	 * @param events the event log of the process
+	 * @param drainingListener receives the id of each upstream that states it is draining
 	 * @return the router
 	 */
-	public static UpstreamRouter create(UpstreamTable table, EventLog events, Consumer<String> onLeaving) {
-		return new UpstreamRouter(table, events, onLeaving);
+	public static UpstreamRouter create(UpstreamTable table, EventLog events, Consumer<String> drainingListener) {
+		return new UpstreamRouter(table, events, drainingListener);
 	}
 
 	/**
-	 * Choose an upstream for a call and count the call there.
+	 * Choose an upstream for a call and count the call as in flight there.
 	 * @param context the request
 	 * @param service the service
-	 * @param tried upstreams that this stage call has tried already
-	 * @return the upstream, or empty if there is none
+	 * @param tried ids of upstreams that this stage call has already tried
+	 * @return the upstream, or empty if none is available
 	 */
 	Optional<Upstream> choose(RequestContext context, Service service, Set<String> tried) {
 		List<Candidate> candidates = this.table.candidates(service.id(), tried, Clocks.SYSTEM.monotonicMs());
@@ -112,28 +112,28 @@
 		}
 	}
 
-	void onFailure(Upstream upstream, boolean blame, String why) {
+	void onFailure(Upstream upstream, boolean blame, String message) {
 		if (this.table.onFailure(upstream.id(), blame, Clocks.SYSTEM.monotonicMs())) {
-			this.events.emit(EventCode.UPSTREAM_EJECTED, upstream.id() + " " + why);
+			this.events.emit(EventCode.UPSTREAM_EJECTED, upstream.id() + " " + message);
 		}
 	}
 
 	/**
-	 * Take note that an upstream says it is leaving.
-	 * @param upstreamId the upstream
+	 * Handle the statement of an upstream that it is draining.
+	 * @param upstreamId id of the upstream
 	 */
 	public void onDraining(String upstreamId) {
 		if (this.table.markDraining(upstreamId)) {
 			this.events.emit(EventCode.UPSTREAM_LEAVING, upstreamId);
-			this.onLeaving.accept(upstreamId);
+			this.drainingListener.accept(upstreamId);
 		}
 	}
 
 	/**
-	 * Return how many calls this VM may have in flight at a service.
+	 * Return the maximum number of calls that this VM may have in flight at a service.
 	 * @param service the service
-	 * @param activeVms how many VMs share the service
-	 * @param overcommit calls for each slot
+	 * @param activeVms number of VMs that share the service
+	 * @param overcommit calls in flight per slot, over all VMs
 	 * @return the limit, at least 1
 	 */
 	int maxInFlight(Service service, int activeVms, double overcommit) {
--- a/entry/src/main/java/org/tallycart/entry/stage/package-info.java
+++ b/entry/src/main/java/org/tallycart/entry/stage/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Stage calls: waiting, choice of an upstream, retries, hedges, resumed streams, cost.
+ * Stage calls: queueing, upstream selection, retries, hedging, resumed streams and cost.
  */
 @NullMarked
 package org.tallycart.entry.stage;
--- a/entry/src/main/java/org/tallycart/entry/state/EntryState.java
+++ b/entry/src/main/java/org/tallycart/entry/state/EntryState.java
@@ -11,32 +11,32 @@
 import org.tallycart.core.policy.Policy;
 
 /**
- * What an entry knows of the fleet at one moment. A request uses one instance throughout,
- * so it sees one version of the configuration.
+ * Snapshot of the fleet as replicated from the steward. A request uses one instance
+ * throughout, so it sees one version of the configuration.
  * <p>
  * Immutable and thread-safe.
  *
  * @param configVersion version of the configuration; 0 for none
- * @param declarations the declarations in force
+ * @param declarations the active declarations
  * @param policies compiled policies, by name
- * @param slots who owns which slot
+ * @param slots owners of the slots
  * @param slotsVersion version of the slot map
  * @param vms the list of VMs
- * @param leaving upstreams known to be leaving
- * @param activeVms how many VMs share the work, at least 1
+ * @param draining ids of upstreams known to be draining
+ * @param activeVms number of VMs that share the load, at least 1
  * @since 0.1
  */
 public record EntryState(long configVersion, Declarations declarations, Map<String, Policy> policies, SlotMap slots,
-		long slotsVersion, VmList vms, Set<String> leaving, int activeVms) {
+		long slotsVersion, VmList vms, Set<String> draining, int activeVms) {
 
-	/** Nothing heard yet. */
+	/** State before the first update. */
 	public static final EntryState EMPTY = new EntryState(0, Declarations.EMPTY, Map.of(), SlotMap.empty(1), 0,
 			VmList.EMPTY, Set.of(), 1);
 
 	/**
-	 * Return the policy that governs a pipeline.
+	 * Return the policy of a pipeline.
 	 * @param pipeline the pipeline
-	 * @return the policy, the built-in one if it names none
+	 * @return the policy, or the built-in policy if its policy is not declared
 	 */
 	public Policy policy(Pipeline pipeline) {
 		return this.policies.getOrDefault(pipeline.policy(), BuiltInPolicy.INSTANCE);
--- a/entry/src/main/java/org/tallycart/entry/state/ShadowPolicy.java
+++ b/entry/src/main/java/org/tallycart/entry/state/ShadowPolicy.java
@@ -9,7 +9,7 @@
 import org.tallycart.core.policy.UpstreamFacts;
 
 /**
- * Lets the built-in rules decide, and reports where a candidate would decide otherwise.
+ * Applies the built-in policy and reports decisions in which a candidate policy differs.
  * <p>
  * Immutable and thread-safe.
  *
@@ -50,11 +50,11 @@
 		return compare("shed", BuiltInPolicy.INSTANCE.shed(request, load), this.candidate.shed(request, load));
 	}
 
-	private <T> T compare(String rule, T decided, T wanted) {
-		if (!decided.equals(wanted)) {
-			this.report.accept(this.id + "." + rule + ": decided " + decided + ", would decide " + wanted);
+	private <T> T compare(String rule, T actual, T proposed) {
+		if (!actual.equals(proposed)) {
+			this.report.accept(this.id + "." + rule + ": decided " + actual + ", would decide " + proposed);
 		}
-		return decided;
+		return actual;
 	}
 
 }
--- a/entry/src/main/java/org/tallycart/entry/state/StewardClient.java
+++ b/entry/src/main/java/org/tallycart/entry/state/StewardClient.java
@@ -40,10 +40,10 @@
 import org.tallycart.wire.message.Subscribe;
 
 /**
- * Connection to this VM's steward. When the steward is gone, the entry keeps what it last
- * heard.
+ * Client of this VM's steward. While the steward is unreachable, the last received state
+ * stays active.
  * <p>
- * Invariant: versions only rise, also across restarts of the steward. Thread-safe.
+ * Invariant: versions never decrease, also across restarts of the steward. Thread-safe.
  *
  * @since 0.1
  */
@@ -59,21 +59,21 @@
 
 	private final CelPolicyCompiler compiler = CelPolicyCompiler.create();
 
-	private final Map<String, String> parts = new HashMap<>();
+	private final Map<String, String> configParts = new HashMap<>();
 
-	private final Map<PolicySource, Policy> compiled = new HashMap<>();
+	private final Map<PolicySource, Policy> compiledPolicies = new HashMap<>();
 
-	private final ExecutorService thread = Executors.newSingleThreadExecutor((task) -> {
+	private final ExecutorService updateExecutor = Executors.newSingleThreadExecutor((task) -> {
 		Thread reader = new Thread(task, "steward-link");
 		reader.setDaemon(true);
 		return reader;
 	});
 
-	private final AtomicBoolean lost = new AtomicBoolean(true);
+	private final AtomicBoolean disconnected = new AtomicBoolean(true);
 
 	private volatile EntryState state = EntryState.EMPTY;
 
-	private StewardClient(WireTransport transport, Address address, EventLog events, TaskFailureHandler guard,
+	private StewardClient(WireTransport transport, Address address, EventLog events, TaskFailureHandler failureHandler,
 			Consumer<EntryState> onState) {
 		this.events = events;
 		this.onState = onState;
@@ -82,31 +82,31 @@
 			@Override
 			public void onMessage(Envelope message) {
 				if (message.hasStateUpdate()) {
-					StewardClient.this.thread
-						.execute(guard.wrap("state update", () -> adopt(message.getStateUpdate())));
+					StewardClient.this.updateExecutor
+						.execute(failureHandler.wrap("state update", () -> applyUpdate(message.getStateUpdate())));
 				}
 			}
 
 			@Override
 			public void onOpen() {
-				StewardClient.this.lost.set(false);
+				StewardClient.this.disconnected.set(false);
 				StewardClient.this.client().send(Envelope.newBuilder().setSubscribe(Subscribe.getDefaultInstance()));
 			}
 		});
 	}
 
 	/**
-	 * Create a link, which connects at its first tick.
-	 * @param transport the process's transport
+	 * Create a client; {@link #ensureConnected()} opens the connection.
+	 * @param transport the wire transport of the process
 	 * @param address the steward's address
-	 * @param events the process's events
-	 * @param guard watches over background tasks
-	 * @param onState takes each new state
-	 * @return the link
+	 * @param events the event log of the process
+	 * @param failureHandler handles failures of background tasks
+	 * @param onState receives each new state
+	 * @return the client
 	 */
 	public static StewardClient create(WireTransport transport, Address address, EventLog events,
-			TaskFailureHandler guard, Consumer<EntryState> onState) {
-		return new StewardClient(transport, address, events, guard, onState);
+			TaskFailureHandler failureHandler, Consumer<EntryState> onState) {
+		return new StewardClient(transport, address, events, failureHandler, onState);
 	}
 
 	private WireClient client() {
@@ -114,17 +114,17 @@
 	}
 
 	/**
-	 * Connect again if the connection is lost. Called now and then.
+	 * Reconnect if the connection is lost. Called periodically.
 	 */
 	public void ensureConnected() {
-		if (!this.client.isConnected() && !this.lost.getAndSet(true)) {
+		if (!this.client.isConnected() && !this.disconnected.getAndSet(true)) {
 			this.events.emit(EventCode.STEWARD_LOST, this.client.address().toString());
 		}
 		this.client.ensureConnected();
 	}
 
 	/**
-	 * Return what is known now.
+	 * Return the latest state.
 	 * @return the state
 	 */
 	public EntryState state() {
@@ -133,75 +133,75 @@
 
 	/**
 	 * Return whether the steward is connected.
-	 * @return true if it is
+	 * @return true if the connection is open
 	 */
 	public boolean isConnected() {
 		return this.client.isConnected();
 	}
 
 	/**
-	 * Tell the steward of an upstream that said it is leaving.
-	 * @param upstreamId the upstream
+	 * Report an upstream that stated it is draining to the steward.
+	 * @param upstreamId id of the upstream
 	 */
 	public void reportDraining(String upstreamId) {
 		this.client.send(Envelope.newBuilder().setLeavingNotice(LeavingNotice.newBuilder().addUpstreams(upstreamId)));
 	}
 
 	/**
-	 * Ask for shares of workspace limits.
+	 * Request shares of the workspaces' limits.
 	 * @param report this VM's demand
-	 * @return the answer to come
+	 * @return a future of the reply, or of the error of the call
 	 */
 	public CompletableFuture<Either<WireError, Envelope>> requestShares(ShareReport report) {
 		return this.client.call(Envelope.newBuilder().setShareReport(report), SHARE_TIMEOUT_MS);
 	}
 
-	private void adopt(StateUpdate update) {
+	private void applyUpdate(StateUpdate update) {
 		for (Blob part : update.getPartsList()) {
-			this.parts.put(part.getDigest(), part.getValue().toString(StandardCharsets.UTF_8));
+			this.configParts.put(part.getDigest(), part.getValue().toString(StandardCharsets.UTF_8));
 		}
-		EntryState before = this.state;
-		EntryState next = withConfig(before, update);
+		EntryState previous = this.state;
+		EntryState next = withConfig(previous, update);
 		next = withFleet(next, update);
-		if (!next.equals(before)) {
+		if (!next.equals(previous)) {
 			this.state = next;
 			this.onState.accept(next);
 		}
-		if (next.configVersion() > before.configVersion()) {
+		if (next.configVersion() > previous.configVersion()) {
 			this.events.emit(EventCode.CONFIG_IN_FORCE, "version=" + next.configVersion());
 		}
 	}
 
-	private EntryState withConfig(EntryState before, StateUpdate update) {
-		if (update.getConfigVersion() <= before.configVersion()) {
-			return before;
+	private EntryState withConfig(EntryState previous, StateUpdate update) {
+		if (update.getConfigVersion() <= previous.configVersion()) {
+			return previous;
 		}
 		List<IniSection> sections = new ArrayList<>();
 		List<Problem> problems = new ArrayList<>();
 		for (PartRef part : update.getPartRefsList()) {
-			String text = this.parts.get(part.getDigest());
+			String text = this.configParts.get(part.getDigest());
 			if (text == null) {
-				return before;
+				return previous;
 			}
 			sections.addAll(IniParser.read(part.getName(), text, problems));
 		}
-		this.parts.keySet().retainAll(update.getPartRefsList().stream().map(PartRef::getDigest).toList());
+		this.configParts.keySet().retainAll(update.getPartRefsList().stream().map(PartRef::getDigest).toList());
 		Either<List<Problem>, Declarations> read = problems.isEmpty()
 				? DeclarationReader.read(sections, (section, source) -> List.of()) : Either.left(problems);
 		if (read.isLeft()) {
 			this.events.emit(EventCode.CONFIG_UNREADABLE,
 					"version=" + update.getConfigVersion() + " " + read.getLeft().get(0));
-			return before;
+			return previous;
 		}
-		return new EntryState(update.getConfigVersion(), read.get(), compile(read.get()), before.slots(),
-				before.slotsVersion(), before.vms(), before.leaving(), before.activeVms());
+		return new EntryState(update.getConfigVersion(), read.get(), compile(read.get()), previous.slots(),
+				previous.slotsVersion(), previous.vms(), previous.draining(), previous.activeVms());
 	}
 
 	private Map<String, Policy> compile(Declarations declarations) {
-		this.compiled.keySet().retainAll(new HashSet<>(declarations.policies().values()));
+		this.compiledPolicies.keySet().retainAll(new HashSet<>(declarations.policies().values()));
 		Map<String, Policy> policies = new HashMap<>();
 		declarations.policies()
-			.forEach((id, source) -> policies.put(id, this.compiled.computeIfAbsent(source, this::policy)));
+			.forEach((id, source) -> policies.put(id, this.compiledPolicies.computeIfAbsent(source, this::policy)));
 		return policies;
 	}
 
@@ -215,27 +215,27 @@
 				(difference) -> this.events.emit(EventCode.POLICY_SHADOW_DIFFERS, difference));
 	}
 
-	private EntryState withFleet(EntryState before, StateUpdate update) {
-		SlotMap slots = before.slots();
-		long slotsVersion = before.slotsVersion();
+	private EntryState withFleet(EntryState previous, StateUpdate update) {
+		SlotMap slots = previous.slots();
+		long slotsVersion = previous.slotsVersion();
 		if (update.getSlotsVersion() > slotsVersion) {
 			slots = SlotMap.decode(update.getSlots()).getOrElse(slots);
 			slotsVersion = update.getSlotsVersion();
 		}
-		VmList vms = before.vms();
+		VmList vms = previous.vms();
 		if (update.getVmsVersion() > vms.version()) {
 			vms = VmList.decode(update.getVmsVersion(), update.getVms()).getOrElse(vms);
 		}
-		HashSet<String> leaving = new HashSet<>(before.leaving());
-		leaving.addAll(update.getLeavingList());
-		return new EntryState(before.configVersion(), before.declarations(), before.policies(), slots, slotsVersion,
-				vms, leaving, Math.max(update.getActiveVms(), 1));
+		HashSet<String> draining = new HashSet<>(previous.draining());
+		draining.addAll(update.getLeavingList());
+		return new EntryState(previous.configVersion(), previous.declarations(), previous.policies(), slots,
+				slotsVersion, vms, draining, Math.max(update.getActiveVms(), 1));
 	}
 
 	@Override
 	public void close() {
 		this.client.close();
-		this.thread.shutdownNow();
+		this.updateExecutor.shutdownNow();
 	}
 
 }
--- a/entry/src/main/java/org/tallycart/entry/state/package-info.java
+++ b/entry/src/main/java/org/tallycart/entry/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What an entry knows of the fleet, as its steward tells it.
+ * State of the fleet, replicated from the steward.
  */
 @NullMarked
 package org.tallycart.entry.state;
