--- a/standin/src/main/java/org/tallycart/standin/EngineStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/EngineStandin.java
@@ -19,53 +19,54 @@
  * Stand-in for a model engine: streams tokens, slows down as its batch grows, keeps a
  * prefix cache, and stops when the caller disconnects.
  * <p>
- * Token i of the answer to {@code [#q17]} is {@code q17-i}; text after the answer mark
- * counts as generated already, so a broken answer can be resumed elsewhere. Thread-safe.
+ * Token i of the reply to {@code [#q17]} is {@code q17-i}. Text after the answer marker
+ * counts as already generated, so an interrupted reply can be resumed on another engine.
+ * Thread-safe.
  *
  * @since 0.1
  */
 final class EngineStandin extends UpstreamStandin {
 
-	private static final String ANSWER_MARK = "\nAnswer:";
+	private static final String ANSWER_MARKER = "\nAnswer:";
 
-	private static final int PREFIX_LENGTH = 32;
+	private static final int PREFIX_CHARS = 32;
 
-	private static final int CACHED_PREFIXES = 64;
+	private static final int MAX_CACHED_PREFIXES = 64;
 
-	private static final double CACHED_SHARE = 0.3;
+	private static final double CACHED_PREFILL_FACTOR = 0.3;
 
-	private static final double BATCH_SLOWDOWN = 0.05;
+	private static final double SLOWDOWN_PER_BATCHED_CALL = 0.05;
 
-	private final Map<String, Boolean> prefixes = new LinkedHashMap<>(CACHED_PREFIXES, 0.75f, true) {
+	private final Map<String, Boolean> cachedPrefixes = new LinkedHashMap<>(MAX_CACHED_PREFIXES, 0.75f, true) {
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-			return size() > CACHED_PREFIXES;
+			return size() > MAX_CACHED_PREFIXES;
 		}
 	};
 
 	private final AtomicLong tokens = new AtomicLong();
 
-	private final AtomicLong cancelled = new AtomicLong();
+	private final AtomicLong cancelledStreams = new AtomicLong();
 
-	EngineStandin(UpstreamDefinition shape) {
-		super(shape);
+	EngineStandin(UpstreamDefinition definition) {
+		super(definition);
 	}
 
 	@Override
 	boolean serve(ClassicHttpRequest request, JsonNode body, ClassicHttpResponse response)
 			throws IOException, InterruptedException {
 		String prompt = body.path("prompt").asText();
-		int limit = body.path("max_tokens").asInt(16);
-		Thread.sleep(scaled(shape().baseMs() * (cached(prompt) ? CACHED_SHARE : 1)));
-		int mark = prompt.indexOf(ANSWER_MARK);
-		String before = (mark >= 0) ? prompt.substring(0, mark) : prompt;
-		String generated = (mark >= 0) ? prompt.substring(mark + ANSWER_MARK.length()).strip() : "";
-		int from = generated.isEmpty() ? 0 : generated.split(" ").length;
-		boolean truncate = faults().truncates();
+		int maxTokens = body.path("max_tokens").asInt(16);
+		Thread.sleep(scaledMs(definition().baseMs() * (lookUpPrefix(prompt) ? CACHED_PREFILL_FACTOR : 1)));
+		int answerStart = prompt.indexOf(ANSWER_MARKER);
+		String question = (answerStart >= 0) ? prompt.substring(0, answerStart) : prompt;
+		String generated = (answerStart >= 0) ? prompt.substring(answerStart + ANSWER_MARKER.length()).strip() : "";
+		int firstToken = generated.isEmpty() ? 0 : generated.split(" ").length;
+		boolean truncate = faults().truncatesStream();
 		response.setCode(OK);
 		response.setEntity(new EntityTemplate(-1, ContentType.TEXT_EVENT_STREAM, null, (out) -> {
 			try {
-				stream(out, marker(before), from, limit, truncate);
+				stream(out, marker(question), firstToken, maxTokens, truncate);
 			}
 			finally {
 				release();
@@ -74,37 +75,38 @@
 		return true;
 	}
 
-	private synchronized boolean cached(String prompt) {
-		String prefix = prompt.substring(0, Math.min(prompt.length(), PREFIX_LENGTH));
-		return this.prefixes.put(prefix, Boolean.TRUE) != null;
+	private synchronized boolean lookUpPrefix(String prompt) {
+		String prefix = prompt.substring(0, Math.min(prompt.length(), PREFIX_CHARS));
+		return this.cachedPrefixes.put(prefix, Boolean.TRUE) != null;
 	}
 
-	private void stream(OutputStream out, String marker, int from, int limit, boolean truncate) throws IOException {
+	private void stream(OutputStream out, String marker, int firstToken, int maxTokens, boolean truncate)
+			throws IOException {
 		try {
-			int until = truncate ? from + limit / 2 : from + limit;
-			for (int i = from; i < until; i++) {
-				double batch = 1 + BATCH_SLOWDOWN * Math.max(running() - 1, 0);
-				Thread.sleep(scaled(shape().tokenMs() * batch));
-				chunk(out, marker + "-" + i + " ", (i + 1 == from + limit) ? "length" : null);
+			int endToken = truncate ? firstToken + maxTokens / 2 : firstToken + maxTokens;
+			for (int i = firstToken; i < endToken; i++) {
+				double slowdown = 1 + SLOWDOWN_PER_BATCHED_CALL * Math.max(running() - 1, 0);
+				Thread.sleep(scaledMs(definition().tokenMs() * slowdown));
+				writeChunk(out, marker + "-" + i + " ", (i + 1 == firstToken + maxTokens) ? "length" : null);
 				this.tokens.incrementAndGet();
 			}
 			if (truncate) {
-				throw new IOException("a fault was set: the stream breaks");
+				throw new IOException("injected fault: the stream is truncated");
 			}
 			out.write("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
 			out.flush();
 		}
 		catch (IOException ex) {
-			this.cancelled.incrementAndGet();
+			this.cancelledStreams.incrementAndGet();
 			throw ex;
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			throw new IOException("stopped", ex);
+			throw new IOException("interrupted while streaming tokens", ex);
 		}
 	}
 
-	private static void chunk(OutputStream out, String text, @Nullable String finish) throws IOException {
+	private static void writeChunk(OutputStream out, String text, @Nullable String finish) throws IOException {
 		ObjectNode root = JsonHttp.JSON.createObjectNode();
 		root.putArray("choices").addObject().put("index", 0).put("text", text).put("finish_reason", finish);
 		out.write(("data: " + JsonHttp.JSON.writeValueAsString(root) + "\n\n").getBytes(StandardCharsets.UTF_8));
@@ -113,7 +115,8 @@
 
 	@Override
 	JsonNode runs() {
-		return ((ObjectNode) super.runs()).put("tokens", this.tokens.get()).put("cancelled", this.cancelled.get());
+		return ((ObjectNode) super.runs()).put("tokens", this.tokens.get())
+			.put("cancelled", this.cancelledStreams.get());
 	}
 
 }
--- a/standin/src/main/java/org/tallycart/standin/FaultProxy.java
+++ b/standin/src/main/java/org/tallycart/standin/FaultProxy.java
@@ -14,8 +14,10 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * TCP proxy that does to a connection what a network can: delay, freeze, drop, cut, and
- * half-close, each direction by itself.
+ * TCP proxy that injects network faults: delay, stall and loss of data, per direction,
+ * and closed and refused connections. It relays the end of a stream as a half-close.
+ * <p>
+ * The sender sees no error when data is dropped.
  * <p>
  * Thread-safe.
  *
@@ -23,9 +25,9 @@
  */
 public final class FaultProxy implements AutoCloseable {
 
-	private static final int BUFFER = 16 * 1024;
+	private static final int BUFFER_BYTES = 16 * 1024;
 
-	private static final long FREEZE_STEP_MS = 5;
+	private static final long FREEZE_POLL_MS = 5;
 
 	private final ServerSocket server;
 
@@ -52,9 +54,9 @@
 
 	/**
 	 * Start a proxy on a free loopback port.
-	 * @param target where it leads
+	 * @param target the address that the proxy connects to
 	 * @return the proxy
-	 * @throws IOException if no port can be had
+	 * @throws IOException if no port can be bound
 	 */
 	public static FaultProxy start(Address target) throws IOException {
 		FaultProxy proxy = new FaultProxy(new ServerSocket(0, 256, InetAddress.getLoopbackAddress()), target);
@@ -70,13 +72,13 @@
 					caller.close();
 					continue;
 				}
-				Socket onward = new Socket(this.target.host(), this.target.port());
+				Socket upstream = new Socket(this.target.host(), this.target.port());
 				caller.setTcpNoDelay(true);
-				onward.setTcpNoDelay(true);
+				upstream.setTcpNoDelay(true);
 				this.sockets.add(caller);
-				this.sockets.add(onward);
-				this.threads.execute(() -> copy(caller, onward, this.towardsTarget));
-				this.threads.execute(() -> copy(onward, caller, this.towardsCaller));
+				this.sockets.add(upstream);
+				this.threads.execute(() -> relay(caller, upstream, this.towardsTarget));
+				this.threads.execute(() -> relay(upstream, caller, this.towardsCaller));
 			}
 			catch (IOException ex) {
 				if (this.server.isClosed()) {
@@ -86,14 +88,14 @@
 		}
 	}
 
-	private void copy(Socket from, Socket to, Direction direction) {
-		byte[] buffer = new byte[BUFFER];
+	private void relay(Socket from, Socket to, Direction direction) {
+		byte[] buffer = new byte[BUFFER_BYTES];
 		try {
 			InputStream in = from.getInputStream();
 			OutputStream out = to.getOutputStream();
 			int count = in.read(buffer);
 			while (count >= 0) {
-				direction.hold();
+				direction.awaitDelivery();
 				if (!direction.dropping) {
 					out.write(buffer, 0, count);
 					out.flush();
@@ -112,7 +114,7 @@
 	}
 
 	/**
-	 * Return the direction from the caller to the target.
+	 * Return the controls for data sent from the caller to the target.
 	 * @return the direction
 	 */
 	public Direction towardsTarget() {
@@ -120,7 +122,7 @@
 	}
 
 	/**
-	 * Return the direction from the target to the caller.
+	 * Return the controls for data sent from the target to the caller.
 	 * @return the direction
 	 */
 	public Direction towardsCaller() {
@@ -128,7 +130,7 @@
 	}
 
 	/**
-	 * Cut all connections now; new ones are made as before.
+	 * Close all current connections. New connections are still accepted.
 	 */
 	public void closeConnections() {
 		this.sockets.forEach(FaultProxy::closeQuietly);
@@ -136,15 +138,15 @@
 	}
 
 	/**
-	 * Refuse new connections, or stop refusing them.
-	 * @param refuse whether to refuse
+	 * Set whether new connections are refused. Open connections are not affected.
+	 * @param refuse true to refuse
 	 */
 	public void setRefusing(boolean refuse) {
 		this.refusing = refuse;
 	}
 
 	/**
-	 * Return where callers reach the proxy.
+	 * Return the address on which the proxy listens.
 	 * @return the address
 	 */
 	public Address address() {
@@ -156,7 +158,7 @@
 			socket.close();
 		}
 		catch (IOException ex) {
-			// The socket is of no further use whether or not it closed well.
+			// A failed close leaves nothing to clean up.
 		}
 	}
 
@@ -166,13 +168,13 @@
 			this.server.close();
 		}
 		catch (IOException ex) {
-			// Nothing is accepted any more.
+			// A failed close leaves nothing to clean up.
 		}
 		closeConnections();
 		this.threads.shutdownNow();
 	}
 
-	/** One direction of the proxy. Thread-safe. */
+	/** Fault controls for one direction of the proxy. Thread-safe. */
 	public static final class Direction {
 
 		private volatile long delayMs;
@@ -182,33 +184,34 @@
 		private volatile boolean dropping;
 
 		/**
-		 * Delay what passes.
-		 * @param millis how long
+		 * Set the delay added to each chunk of data.
+		 * @param millis delay in milliseconds; 0 for none
 		 */
 		public void setDelayMs(long millis) {
 			this.delayMs = millis;
 		}
 
 		/**
-		 * Hold everything back, or let it go.
-		 * @param freeze whether to hold
+		 * Set whether data is held back. Held data is delivered once the direction is no
+		 * longer frozen.
+		 * @param freeze true to hold data back
 		 */
 		public void setFrozen(boolean freeze) {
 			this.frozen = freeze;
 		}
 
 		/**
-		 * Drop everything silently, or stop doing so.
-		 * @param drop whether to drop
+		 * Set whether data is discarded without an error.
+		 * @param drop true to discard data
 		 */
 		public void setDropping(boolean drop) {
 			this.dropping = drop;
 		}
 
-		private void hold() throws InterruptedException {
+		private void awaitDelivery() throws InterruptedException {
 			Thread.sleep(this.delayMs);
 			while (this.frozen) {
-				Thread.sleep(FREEZE_STEP_MS);
+				Thread.sleep(FREEZE_POLL_MS);
 			}
 		}
 
--- a/standin/src/main/java/org/tallycart/standin/JsonHttp.java
+++ b/standin/src/main/java/org/tallycart/standin/JsonHttp.java
@@ -16,9 +16,9 @@
 import org.apache.hc.core5.http.io.entity.EntityUtils;
 
 /**
- * Small helpers for JSON over HTTP.
+ * Static helpers to read HTTP requests and to write text and JSON replies.
  * <p>
- * Thread-safe: holds no state.
+ * Thread-safe: stateless.
  *
  * @since 0.1
  */
@@ -35,7 +35,7 @@
 		return (request.getEntity() != null) ? EntityUtils.toByteArray(request.getEntity()) : new byte[0];
 	}
 
-	static JsonNode json(ClassicHttpRequest request) throws IOException {
+	static JsonNode readJson(ClassicHttpRequest request) throws IOException {
 		return JSON.readTree(body(request));
 	}
 
@@ -47,28 +47,28 @@
 		Map<String, String> values = new HashMap<>();
 		String query = URI.create(request.getRequestUri()).getQuery();
 		for (String part : ((query != null) ? query : "").split("&")) {
-			int equals = part.indexOf('=');
-			if (equals > 0) {
-				values.put(part.substring(0, equals), part.substring(equals + 1));
+			int separator = part.indexOf('=');
+			if (separator > 0) {
+				values.put(part.substring(0, separator), part.substring(separator + 1));
 			}
 		}
 		return values;
 	}
 
-	static String field(ClassicHttpRequest request, String name) {
+	static String header(ClassicHttpRequest request, String name) {
 		Header header = request.getFirstHeader(name);
 		return (header != null) ? header.getValue() : "";
 	}
 
-	static void answer(ClassicHttpResponse response, int code, JsonNode body) throws IOException {
-		response.setCode(code);
+	static void respond(ClassicHttpResponse response, int status, JsonNode body) throws IOException {
+		response.setCode(status);
 		response.setEntity(new ByteArrayEntity(JSON.writeValueAsBytes(body), ContentType.APPLICATION_JSON));
 	}
 
-	static void answer(ClassicHttpResponse response, int code, String text) {
-		response.setCode(code);
-		if (code == NOT_MODIFIED) {
-			// HTTP allows no body here.
+	static void respond(ClassicHttpResponse response, int status, String text) {
+		response.setCode(status);
+		if (status == NOT_MODIFIED) {
+			// A 304 response must not have a body.
 			return;
 		}
 		response.setEntity(new ByteArrayEntity(text.getBytes(StandardCharsets.UTF_8), ContentType.TEXT_PLAIN));
--- a/standin/src/main/java/org/tallycart/standin/PlatformFaults.java
+++ b/standin/src/main/java/org/tallycart/standin/PlatformFaults.java
@@ -7,7 +7,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What the platform stand-in does wrong at present. Set by JSON at {@code /admin/fault}.
+ * Faults that the platform stand-in currently injects. Set by JSON at
+ * {@code /admin/fault}; a field that is absent keeps its value.
  * <p>
  * Thread-safe.
  *
@@ -19,25 +20,25 @@
 
 	private volatile long delayMs;
 
-	private volatile boolean oldReads;
+	private volatile boolean staleReads;
 
-	private final AtomicInteger answersToLose = new AtomicInteger();
+	private final AtomicInteger repliesToLose = new AtomicInteger();
 
 	private final Map<String, Long> vmListLagMs = new ConcurrentHashMap<>();
 
 	void set(JsonNode fault) {
 		this.outage = fault.path("outage").asBoolean(this.outage);
 		this.delayMs = fault.path("delay_ms").asLong(this.delayMs);
-		this.oldReads = fault.path("old_reads").asBoolean(this.oldReads);
+		this.staleReads = fault.path("old_reads").asBoolean(this.staleReads);
 		if (fault.has("lose_answers")) {
-			this.answersToLose.set(fault.get("lose_answers").asInt());
+			this.repliesToLose.set(fault.get("lose_answers").asInt());
 		}
 		fault.path("vm_list_lag_ms")
 			.properties()
 			.forEach((lag) -> this.vmListLagMs.put(lag.getKey(), lag.getValue().asLong()));
 	}
 
-	boolean outage() {
+	boolean isOutage() {
 		return this.outage;
 	}
 
@@ -45,12 +46,12 @@
 		return this.delayMs;
 	}
 
-	boolean oldReads() {
-		return this.oldReads;
+	boolean servesStaleReads() {
+		return this.staleReads;
 	}
 
-	boolean losesThisAnswer() {
-		return this.answersToLose.getAndUpdate((left) -> Math.max(left - 1, 0)) > 0;
+	boolean takeReplyLoss() {
+		return this.repliesToLose.getAndUpdate((left) -> Math.max(left - 1, 0)) > 0;
 	}
 
 	long vmListLagMs(String caller) {
--- a/standin/src/main/java/org/tallycart/standin/PlatformStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/PlatformStandin.java
@@ -19,10 +19,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Stand-in for the platform's service: objects with versions, conditional updates,
- * watches, and the list of VMs.
+ * Stand-in for the platform's service: versioned objects, conditional updates, watches,
+ * and the list of VMs.
  * <p>
- * Invariant: a conditional update takes effect only on the version it names. Thread-safe.
+ * Invariant: a conditional update takes effect only if the object has the version that
+ * the update names. Thread-safe.
  *
  * @since 0.1
  */
@@ -36,7 +37,7 @@
 
 	private static final int PRECONDITION_FAILED = 412;
 
-	private static final int TOO_LARGE = 413;
+	private static final int PAYLOAD_TOO_LARGE = 413;
 
 	private static final int MAX_VALUE_BYTES = 1 << 20;
 
@@ -44,7 +45,7 @@
 
 	private final Map<String, List<byte[]>> objects = new HashMap<>();
 
-	private final List<VmListVersion> vmLists = new ArrayList<>();
+	private final List<VmListVersion> vmListVersions = new ArrayList<>();
 
 	private final Map<String, LongAdder> calls = new ConcurrentHashMap<>();
 
@@ -56,134 +57,137 @@
 			admin(path, request, response);
 			return;
 		}
-		if (this.faults.outage()) {
-			throw new IOException("outage");
+		if (this.faults.isOutage()) {
+			throw new IOException("injected fault: platform outage");
 		}
-		pause(this.faults.delayMs());
+		sleep(this.faults.delayMs());
 		if (path.equals("/vms")) {
-			count("vm-list");
-			vms(request, response);
+			countCall("vm-list");
+			sendVmList(request, response);
 		}
 		else if (request.getMethod().equals("PUT")) {
-			count("write");
+			countCall("write");
 			put(path, request, response);
 		}
 		else {
-			count("read");
+			countCall("read");
 			get(path, request, response);
 		}
 	}
 
-	private void count(String kind) {
+	private void countCall(String kind) {
 		this.calls.computeIfAbsent(kind, (key) -> new LongAdder()).increment();
 	}
 
 	private void admin(String path, ClassicHttpRequest request, ClassicHttpResponse response) throws IOException {
 		switch (path) {
-			case "/admin/fault" -> this.faults.set(JsonHttp.json(request));
+			case "/admin/fault" -> this.faults.set(JsonHttp.readJson(request));
 			case "/admin/vms" -> addVmList(new String(JsonHttp.body(request), StandardCharsets.UTF_8));
 			case "/admin/counts" -> {
 				ObjectNode counts = JsonHttp.JSON.createObjectNode();
 				new TreeMap<>(this.calls).forEach((kind, adder) -> counts.put(kind, adder.sum()));
-				JsonHttp.answer(response, OK, counts);
+				JsonHttp.respond(response, OK, counts);
 				return;
 			}
 			default -> {
-				JsonHttp.answer(response, NOT_FOUND, "no such path");
+				JsonHttp.respond(response, NOT_FOUND, "no such path");
 				return;
 			}
 		}
-		JsonHttp.answer(response, OK, "done");
+		JsonHttp.respond(response, OK, "done");
 	}
 
 	private synchronized void addVmList(String text) {
-		this.vmLists.add(new VmListVersion(System.nanoTime(), text));
+		this.vmListVersions.add(new VmListVersion(System.nanoTime(), text));
 	}
 
-	private synchronized void vms(ClassicHttpRequest request, ClassicHttpResponse response) {
-		long lag = TimeUnit.MILLISECONDS.toNanos(this.faults.vmListLagMs(JsonHttp.field(request, "X-Caller")));
-		long visible = this.vmLists.stream().filter((entry) -> entry.sinceNs <= System.nanoTime() - lag).count();
-		if (visible <= number(request, "after")) {
-			JsonHttp.answer(response, NOT_MODIFIED, "");
+	private synchronized void sendVmList(ClassicHttpRequest request, ClassicHttpResponse response) {
+		long lagNs = TimeUnit.MILLISECONDS.toNanos(this.faults.vmListLagMs(JsonHttp.header(request, "X-Caller")));
+		long visible = this.vmListVersions.stream()
+			.filter((entry) -> entry.publishedNs <= System.nanoTime() - lagNs)
+			.count();
+		if (visible <= queryNumber(request, "after")) {
+			JsonHttp.respond(response, NOT_MODIFIED, "");
 			return;
 		}
 		response.setHeader("ETag", "\"" + visible + "\"");
-		JsonHttp.answer(response, OK, this.vmLists.get((int) visible - 1).text);
+		JsonHttp.respond(response, OK, this.vmListVersions.get((int) visible - 1).text);
 	}
 
 	private synchronized void put(String name, ClassicHttpRequest request, ClassicHttpResponse response)
 			throws IOException {
 		byte[] value = JsonHttp.body(request);
 		if (value.length > MAX_VALUE_BYTES) {
-			JsonHttp.answer(response, TOO_LARGE, "the value is over " + MAX_VALUE_BYTES + " bytes");
+			JsonHttp.respond(response, PAYLOAD_TOO_LARGE, "the value is over " + MAX_VALUE_BYTES + " bytes");
 			return;
 		}
 		List<byte[]> versions = this.objects.computeIfAbsent(name, (key) -> new ArrayList<>());
-		String expected = JsonHttp.field(request, "If-Match").replace("\"", "");
-		boolean create = JsonHttp.field(request, "If-None-Match").equals("*");
+		String expected = JsonHttp.header(request, "If-Match").replace("\"", "");
+		boolean create = JsonHttp.header(request, "If-None-Match").equals("*");
 		boolean matches = create ? versions.isEmpty() : expected.equals(String.valueOf(versions.size()));
 		if (!matches) {
-			JsonHttp.answer(response, PRECONDITION_FAILED, "the version is " + versions.size());
+			JsonHttp.respond(response, PRECONDITION_FAILED, "the version is " + versions.size());
 			return;
 		}
 		versions.add(value);
 		notifyAll();
-		if (this.faults.losesThisAnswer()) {
-			throw new IOException("the answer is lost");
+		if (this.faults.takeReplyLoss()) {
+			throw new IOException("injected fault: the reply to the write of " + name + " is dropped");
 		}
 		response.setHeader("ETag", "\"" + versions.size() + "\"");
-		JsonHttp.answer(response, OK, "");
+		JsonHttp.respond(response, OK, "");
 	}
 
 	private void get(String name, ClassicHttpRequest request, ClassicHttpResponse response) throws IOException {
-		long after = number(request, "after");
-		VersionedValue found = find(name, after, number(request, "wait-ms"));
-		if (this.faults.outage()) {
-			throw new IOException("outage");
+		long after = queryNumber(request, "after");
+		VersionedValue found = awaitChange(name, after, queryNumber(request, "wait-ms"));
+		if (this.faults.isOutage()) {
+			throw new IOException("injected fault: platform outage");
 		}
 		if (found.version == 0) {
-			JsonHttp.answer(response, NOT_FOUND, "");
+			JsonHttp.respond(response, NOT_FOUND, "");
 		}
 		else if (found.version <= after) {
-			JsonHttp.answer(response, NOT_MODIFIED, "");
+			JsonHttp.respond(response, NOT_MODIFIED, "");
 		}
 		else {
 			response.setHeader("ETag", "\"" + found.version + "\"");
-			JsonHttp.answer(response, OK, new String(found.value, StandardCharsets.UTF_8));
+			JsonHttp.respond(response, OK, new String(found.value, StandardCharsets.UTF_8));
 		}
 	}
 
-	private synchronized VersionedValue find(String name, long after, long waitMs) throws IOException {
-		long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
+	private synchronized VersionedValue awaitChange(String name, long after, long waitMs) throws IOException {
+		long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMs);
 		List<byte[]> versions = this.objects.get(name);
-		while ((versions == null || versions.size() <= after) && System.nanoTime() < untilNs && !this.faults.outage()) {
-			waitUntil(untilNs);
+		while ((versions == null || versions.size() <= after) && System.nanoTime() < deadlineNs
+				&& !this.faults.isOutage()) {
+			waitUntil(deadlineNs);
 			versions = this.objects.get(name);
 		}
 		if (versions == null || versions.isEmpty()) {
 			return new VersionedValue(0, new byte[0]);
 		}
-		int version = (this.faults.oldReads() && versions.size() > 1) ? versions.size() - 1 : versions.size();
+		int version = (this.faults.servesStaleReads() && versions.size() > 1) ? versions.size() - 1 : versions.size();
 		return new VersionedValue(version, versions.get(version - 1));
 	}
 
-	private void waitUntil(long untilNs) throws IOException {
+	private void waitUntil(long deadlineNs) throws IOException {
 		try {
 			TimeUnit.NANOSECONDS.timedWait(this,
-					Math.min(untilNs - System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(100)));
+					Math.min(deadlineNs - System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(100)));
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			throw new IOException("stopped", ex);
+			throw new IOException("interrupted while handling a platform request", ex);
 		}
 	}
 
-	private static long number(ClassicHttpRequest request, String key) {
+	private static long queryNumber(ClassicHttpRequest request, String key) {
 		@Nullable String value = JsonHttp.query(request).get(key);
 		return (value != null) ? Long.parseLong(value) : 0;
 	}
 
-	private static void pause(long millis) throws IOException {
+	private static void sleep(long millis) throws IOException {
 		if (millis <= 0) {
 			return;
 		}
@@ -192,11 +196,11 @@
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			throw new IOException("stopped", ex);
+			throw new IOException("interrupted while handling a platform request", ex);
 		}
 	}
 
-	private record VmListVersion(long sinceNs, String text) {
+	private record VmListVersion(long publishedNs, String text) {
 	}
 
 	private record VersionedValue(int version, byte[] value) {
--- a/standin/src/main/java/org/tallycart/standin/PoolStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/PoolStandin.java
@@ -9,7 +9,7 @@
 import org.apache.hc.core5.http.ClassicHttpResponse;
 
 /**
- * Stand-in for encoders, retrievers and rerankers.
+ * Stand-in for an encoder, a retriever or a reranker.
  * <p>
  * Thread-safe.
  *
@@ -19,17 +19,17 @@
 
 	private static final int DIMENSIONS = 8;
 
-	private static final int BYTE = 256;
+	private static final int BYTE_VALUES = 256;
 
-	PoolStandin(UpstreamDefinition shape) {
-		super(shape);
+	PoolStandin(UpstreamDefinition definition) {
+		super(definition);
 	}
 
 	@Override
 	boolean serve(ClassicHttpRequest request, JsonNode body, ClassicHttpResponse response)
 			throws IOException, InterruptedException {
-		Thread.sleep(scaled(shape().baseMs()));
-		JsonHttp.answer(response, OK, switch (shape().kind()) {
+		Thread.sleep(scaledMs(definition().baseMs()));
+		JsonHttp.respond(response, OK, switch (definition().kind()) {
 			case "encode" -> encode(body);
 			case "retrieve" -> retrieve(body);
 			default -> rerank(body);
@@ -42,7 +42,7 @@
 		ObjectNode root = JsonHttp.JSON.createObjectNode();
 		ArrayNode vector = root.putArray("data").addObject().put("index", 0).putArray("embedding");
 		for (int i = 0; i < DIMENSIONS; i++) {
-			vector.add(Math.floorMod((text + i).hashCode(), BYTE) / (double) BYTE);
+			vector.add(Math.floorMod((text + i).hashCode(), BYTE_VALUES) / (double) BYTE_VALUES);
 		}
 		return root;
 	}
--- a/standin/src/main/java/org/tallycart/standin/ServiceStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/ServiceStandin.java
@@ -11,8 +11,8 @@
 import org.apache.hc.core5.http.ClassicHttpResponse;
 
 /**
- * Stand-in for a plain service; counts how often it ran each idempotency key, and each
- * caller's marker, which stays the same when a caller submits with a new key.
+ * Stand-in for a plain service. Counts runs per idempotency key and per marker of the
+ * request; the marker stays the same when a caller resubmits with a new key.
  * <p>
  * Thread-safe.
  *
@@ -26,24 +26,24 @@
 
 	private final Map<String, Integer> runsByMarker = new ConcurrentHashMap<>();
 
-	ServiceStandin(UpstreamDefinition shape) {
-		super(shape);
+	ServiceStandin(UpstreamDefinition definition) {
+		super(definition);
 	}
 
 	@Override
 	boolean serve(ClassicHttpRequest request, JsonNode body, ClassicHttpResponse response)
 			throws IOException, InterruptedException {
-		String key = JsonHttp.field(request, "Idempotency-Key");
+		String key = JsonHttp.header(request, "Idempotency-Key");
 		if (!key.isEmpty()) {
 			this.runsByKey.merge(key, 1, Integer::sum);
 		}
 		String marker = marker(body.path("input").asText());
 		this.runsByMarker.merge(marker, 1, Integer::sum);
-		Thread.sleep(scaled(shape().baseMs()));
+		Thread.sleep(scaledMs(definition().baseMs()));
 		if (faults().runsThenHangs()) {
 			Thread.sleep(HANG_MS);
 		}
-		JsonHttp.answer(response, OK, JsonHttp.JSON.createObjectNode().put("output", "done " + marker));
+		JsonHttp.respond(response, OK, JsonHttp.JSON.createObjectNode().put("output", "done " + marker));
 		return false;
 	}
 
--- a/standin/src/main/java/org/tallycart/standin/SlotScheduler.java
+++ b/standin/src/main/java/org/tallycart/standin/SlotScheduler.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * The slots of an upstream stand-in: first come, first served within a priority; a load
- * report that lags.
+ * Grants the slots of an upstream stand-in: high priority before low, in order of arrival
+ * within a priority. Keeps recent load samples, from which a delayed load report is made.
  * <p>
  * Thread-safe.
  *
@@ -20,11 +20,11 @@
 
 	private final ReentrantLock lock = new ReentrantLock();
 
-	private final Condition changed = this.lock.newCondition();
+	private final Condition stateChanged = this.lock.newCondition();
 
-	private final Deque<Object> high = new ArrayDeque<>();
+	private final Deque<Object> highPriorityQueue = new ArrayDeque<>();
 
-	private final Deque<Object> low = new ArrayDeque<>();
+	private final Deque<Object> lowPriorityQueue = new ArrayDeque<>();
 
 	private int running;
 
@@ -34,45 +34,46 @@
 		this.slots = slots;
 	}
 
-	boolean enter(boolean first, long timeoutMs) throws InterruptedException {
+	boolean acquire(boolean highPriority, long timeoutMs) throws InterruptedException {
 		Object ticket = new Object();
-		Deque<Object> queue = first ? this.high : this.low;
+		Deque<Object> queue = highPriority ? this.highPriorityQueue : this.lowPriorityQueue;
 		this.lock.lock();
 		try {
 			queue.addLast(ticket);
-			record();
-			long left = TimeUnit.MILLISECONDS.toNanos(timeoutMs);
-			while (!mayRun(ticket, first)) {
-				if (left <= 0) {
+			recordSample();
+			long remainingNs = TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+			while (!isNext(ticket, highPriority)) {
+				if (remainingNs <= 0) {
 					queue.remove(ticket);
 					return false;
 				}
-				left = this.changed.awaitNanos(left);
+				remainingNs = this.stateChanged.awaitNanos(remainingNs);
 			}
 			queue.remove(ticket);
 			this.running++;
-			record();
+			recordSample();
 			return true;
 		}
 		finally {
-			this.changed.signalAll();
+			this.stateChanged.signalAll();
 			this.lock.unlock();
 		}
 	}
 
-	private boolean mayRun(Object ticket, boolean first) {
+	private boolean isNext(Object ticket, boolean highPriority) {
 		if (this.running >= this.slots) {
 			return false;
 		}
-		return first ? this.high.peekFirst() == ticket : this.high.isEmpty() && this.low.peekFirst() == ticket;
+		return highPriority ? this.highPriorityQueue.peekFirst() == ticket
+				: this.highPriorityQueue.isEmpty() && this.lowPriorityQueue.peekFirst() == ticket;
 	}
 
-	void leave() {
+	void release() {
 		this.lock.lock();
 		try {
 			this.running--;
-			record();
-			this.changed.signalAll();
+			recordSample();
+			this.stateChanged.signalAll();
 		}
 		finally {
 			this.lock.unlock();
@@ -89,20 +90,21 @@
 		}
 	}
 
-	private void record() {
-		this.samples.addLast(new LoadSample(System.nanoTime(), this.running, this.high.size() + this.low.size()));
+	private void recordSample() {
+		this.samples.addLast(new LoadSample(System.nanoTime(), this.running,
+				this.highPriorityQueue.size() + this.lowPriorityQueue.size()));
 		while (this.samples.size() > 10_000) {
 			this.samples.removeFirst();
 		}
 	}
 
-	LoadSample report(long lagMs) {
+	LoadSample loadBefore(long lagMs) {
 		this.lock.lock();
 		try {
-			long atNs = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(lagMs);
+			long timeNs = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(lagMs);
 			LoadSample found = new LoadSample(0, 0, 0);
 			for (LoadSample sample : this.samples) {
-				if (sample.atNs > atNs) {
+				if (sample.timeNs > timeNs) {
 					break;
 				}
 				found = sample;
@@ -114,7 +116,7 @@
 		}
 	}
 
-	record LoadSample(long atNs, int running, int waiting) {
+	record LoadSample(long timeNs, int running, int waiting) {
 	}
 
 }
--- a/standin/src/main/java/org/tallycart/standin/StandinMain.java
+++ b/standin/src/main/java/org/tallycart/standin/StandinMain.java
@@ -23,7 +23,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs the stand-ins that a file lists, each on a port of its own, in one process.
+ * Main class of {@code tallycart-standin}: runs the stand-ins of a configuration file in
+ * one process, each on its own port. Prints one line that starts with {@code STARTED} and
+ * lists the ports.
  * <p>
  * Not thread-safe: used by the main thread.
  *
@@ -46,8 +48,8 @@
 	private @Nullable Path config;
 
 	/**
-	 * Run the program.
-	 * @param args the command line
+	 * Start the program.
+	 * @param args the command-line arguments
 	 */
 	public static void main(String[] args) {
 		System.exit(DaemonCommand.execute(new StandinMain(), args));
@@ -61,15 +63,15 @@
 		StringBuilder started = new StringBuilder("STARTED");
 		for (IniSection section : sections) {
 			SectionReader reader = SectionReader.of(section, problems);
-			UpstreamDefinition shape = shape(section, reader);
+			UpstreamDefinition definition = readDefinition(section, reader);
 			reader.reportUnknownKeys();
 			if (!problems.isEmpty()) {
 				problems.forEach((problem) -> System.err.println(problem));
 				return ExitCode.USAGE;
 			}
 			Either<String, BlockingHttpServer> listener = BlockingHttpServer.start(
-					new Address("127.0.0.1", shape.port()), section.id(), MAX_CONNECTIONS,
-					standin(section.kind(), shape));
+					new Address("127.0.0.1", definition.port()), section.id(), MAX_CONNECTIONS,
+					createStandin(section.kind(), definition));
 			if (listener.isLeft()) {
 				System.err.println(listener.getLeft());
 				return ExitCode.FAILED;
@@ -82,21 +84,21 @@
 		return ExitCode.OK;
 	}
 
-	private static UpstreamDefinition shape(IniSection section, SectionReader reader) {
+	private static UpstreamDefinition readDefinition(IniSection section, SectionReader reader) {
 		return new UpstreamDefinition(section.id(), reader.text("kind", "platform"),
 				(int) reader.number("port", 0, 0, MAX_PORT), (int) reader.number("slots", 4, 1, MAX_SLOTS),
 				reader.decimal("base-ms", 5, 0, MAX_MS), reader.decimal("token-ms", 2, 0, MAX_MS),
 				reader.number("seed", section.id().hashCode(), Long.MIN_VALUE, Long.MAX_VALUE));
 	}
 
-	private static HttpRequestHandler standin(String section, UpstreamDefinition shape) {
-		if (section.equals("platform")) {
+	private static HttpRequestHandler createStandin(String sectionKind, UpstreamDefinition definition) {
+		if (sectionKind.equals("platform")) {
 			return new PlatformStandin();
 		}
-		return switch (shape.kind()) {
-			case "generate" -> new EngineStandin(shape);
-			case "plain" -> new ServiceStandin(shape);
-			default -> new PoolStandin(shape);
+		return switch (definition.kind()) {
+			case "generate" -> new EngineStandin(definition);
+			case "plain" -> new ServiceStandin(definition);
+			default -> new PoolStandin(definition);
 		};
 	}
 
--- a/standin/src/main/java/org/tallycart/standin/UpstreamFaults.java
+++ b/standin/src/main/java/org/tallycart/standin/UpstreamFaults.java
@@ -5,7 +5,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What an upstream stand-in does wrong at present. Set by JSON at {@code /admin/fault}.
+ * Faults that an upstream stand-in currently injects. Set by JSON at
+ * {@code /admin/fault}; a field that is absent keeps its value.
  * <p>
  * Thread-safe.
  *
@@ -29,7 +30,7 @@
 
 	private volatile boolean runThenHang;
 
-	private volatile boolean leaving;
+	private volatile boolean draining;
 
 	private volatile long reportLagMs;
 
@@ -44,7 +45,7 @@
 		this.foreignPercent = fault.path("foreign_percent").asInt(this.foreignPercent);
 		this.hang = fault.path("hang").asBoolean(this.hang);
 		this.runThenHang = fault.path("run_then_hang").asBoolean(this.runThenHang);
-		this.leaving = fault.path("leaving").asBoolean(this.leaving);
+		this.draining = fault.path("leaving").asBoolean(this.draining);
 		this.reportLagMs = fault.path("report_lag_ms").asLong(this.reportLagMs);
 	}
 
@@ -52,16 +53,16 @@
 		return this.slowFactor;
 	}
 
-	boolean fails() {
-		return happens(this.failPercent);
+	boolean failsCall() {
+		return occurs(this.failPercent);
 	}
 
-	boolean truncates() {
-		return happens(this.truncatePercent);
+	boolean truncatesStream() {
+		return occurs(this.truncatePercent);
 	}
 
-	boolean answersForAnother() {
-		return happens(this.foreignPercent);
+	boolean sendsForeignRequestId() {
+		return occurs(this.foreignPercent);
 	}
 
 	boolean hangs() {
@@ -72,15 +73,15 @@
 		return this.runThenHang;
 	}
 
-	boolean isLeaving() {
-		return this.leaving;
+	boolean isDraining() {
+		return this.draining;
 	}
 
 	long reportLagMs() {
 		return this.reportLagMs;
 	}
 
-	private boolean happens(int percent) {
+	private boolean occurs(int percent) {
 		synchronized (this.random) {
 			return percent > 0 && this.random.nextInt(PERCENT) < percent;
 		}
--- a/standin/src/main/java/org/tallycart/standin/UpstreamStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/UpstreamStandin.java
@@ -15,10 +15,10 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 /**
- * What all upstream stand-ins do alike: slots, load report, faults, leaving.
+ * Base class of the upstream stand-ins: slots, load report, injected faults, draining.
  * <p>
- * Every question holds a marker such as {@code [#q17]}; answers are made from it, so that
- * who asked can tell whether an answer is its own. Thread-safe.
+ * Every prompt contains a marker such as {@code [#q17]}, and the reply is derived from
+ * it, so a caller can detect a reply that belongs to another request. Thread-safe.
  *
  * @since 0.1
  */
@@ -26,100 +26,100 @@
 
 	static final int OK = 200;
 
-	private static final int UNAVAILABLE = 503;
+	private static final int SERVICE_UNAVAILABLE = 503;
 
-	private static final int ERROR = 500;
+	private static final int INTERNAL_ERROR = 500;
 
-	private static final long LONGEST_WAIT_MS = 60_000;
+	private static final long MAX_WAIT_MS = 60_000;
 
 	private static final double JITTER = 0.2;
 
 	private static final Pattern MARKER = Pattern.compile("\\[#([A-Za-z0-9_-]+)]");
 
-	private final UpstreamDefinition shape;
+	private final UpstreamDefinition definition;
 
 	private final UpstreamFaults faults;
 
-	private final SlotScheduler gate;
+	private final SlotScheduler scheduler;
 
 	private final Random random;
 
 	private final AtomicLong runs = new AtomicLong();
 
-	private volatile long lastNewWorkMs;
+	private volatile long lastRunStartMs;
 
-	UpstreamStandin(UpstreamDefinition shape) {
-		this.shape = shape;
-		this.faults = new UpstreamFaults(shape.seed());
-		this.gate = new SlotScheduler(shape.slots());
-		this.random = new Random(shape.seed());
+	UpstreamStandin(UpstreamDefinition definition) {
+		this.definition = definition;
+		this.faults = new UpstreamFaults(definition.seed());
+		this.scheduler = new SlotScheduler(definition.slots());
+		this.random = new Random(definition.seed());
 	}
 
 	@Override
 	public final void handle(ClassicHttpRequest request, ClassicHttpResponse response, HttpContext context)
 			throws IOException {
 		switch (JsonHttp.path(request)) {
-			case "/load" -> report(response);
+			case "/load" -> sendLoadReport(response);
 			case "/admin/fault" -> {
-				this.faults.set(JsonHttp.json(request));
-				JsonHttp.answer(response, OK, "done");
+				this.faults.set(JsonHttp.readJson(request));
+				JsonHttp.respond(response, OK, "done");
 			}
-			case "/admin/runs" -> JsonHttp.answer(response, OK, runs());
-			default -> work(request, response);
+			case "/admin/runs" -> JsonHttp.respond(response, OK, runs());
+			default -> admit(request, response);
 		}
 	}
 
-	private void report(ClassicHttpResponse response) throws IOException {
-		SlotScheduler.LoadSample sample = this.gate.report(this.faults.reportLagMs());
-		JsonHttp.answer(response, OK,
+	private void sendLoadReport(ClassicHttpResponse response) throws IOException {
+		SlotScheduler.LoadSample sample = this.scheduler.loadBefore(this.faults.reportLagMs());
+		JsonHttp.respond(response, OK,
 				JsonHttp.JSON.createObjectNode()
 					.put("running", sample.running())
 					.put("waiting", sample.waiting())
-					.put("slots", this.shape.slots())
-					.put("state", this.faults.isLeaving() ? "leaving" : "live"));
+					.put("slots", this.definition.slots())
+					.put("state", this.faults.isDraining() ? "leaving" : "live"));
 	}
 
-	private void work(ClassicHttpRequest request, ClassicHttpResponse response) throws IOException {
-		if (this.faults.isLeaving()) {
+	private void admit(ClassicHttpRequest request, ClassicHttpResponse response) throws IOException {
+		if (this.faults.isDraining()) {
 			response.setHeader("X-Upstream-State", "leaving");
-			JsonHttp.answer(response, UNAVAILABLE, "leaving");
+			JsonHttp.respond(response, SERVICE_UNAVAILABLE, "leaving");
 			return;
 		}
-		JsonNode body = JsonHttp.json(request);
-		boolean first = JsonHttp.field(request, "X-Priority").startsWith("high");
+		JsonNode body = JsonHttp.readJson(request);
+		boolean highPriority = JsonHttp.header(request, "X-Priority").startsWith("high");
 		try {
-			if (!this.gate.enter(first, LONGEST_WAIT_MS)) {
-				JsonHttp.answer(response, UNAVAILABLE, "too long a queue");
+			if (!this.scheduler.acquire(highPriority, MAX_WAIT_MS)) {
+				JsonHttp.respond(response, SERVICE_UNAVAILABLE, "too long a queue");
 				return;
 			}
-			boolean handedOn = false;
+			boolean releasedLater = false;
 			try {
-				handedOn = run(request, body, response);
+				releasedLater = run(request, body, response);
 			}
 			finally {
-				if (!handedOn) {
-					this.gate.leave();
+				if (!releasedLater) {
+					this.scheduler.release();
 				}
 			}
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			throw new IOException("stopped", ex);
+			throw new IOException("interrupted while serving a call of upstream " + this.definition.id(), ex);
 		}
 	}
 
 	private boolean run(ClassicHttpRequest request, JsonNode body, ClassicHttpResponse response)
 			throws IOException, InterruptedException {
 		if (this.faults.hangs()) {
-			Thread.sleep(LONGEST_WAIT_MS);
+			Thread.sleep(MAX_WAIT_MS);
 		}
 		this.runs.incrementAndGet();
-		this.lastNewWorkMs = System.currentTimeMillis();
-		String id = JsonHttp.field(request, "X-Request-Id");
-		response.setHeader("X-Request-Id", this.faults.answersForAnother() ? "another-" + id : id);
-		if (this.faults.fails()) {
-			Thread.sleep(scaled(this.shape.baseMs()));
-			JsonHttp.answer(response, ERROR, "a fault was set");
+		this.lastRunStartMs = System.currentTimeMillis();
+		String id = JsonHttp.header(request, "X-Request-Id");
+		response.setHeader("X-Request-Id", this.faults.sendsForeignRequestId() ? "another-" + id : id);
+		if (this.faults.failsCall()) {
+			Thread.sleep(scaledMs(this.definition.baseMs()));
+			JsonHttp.respond(response, INTERNAL_ERROR, "a fault was set");
 			return false;
 		}
 		return serve(request, body, response);
@@ -127,11 +127,11 @@
 
 	/**
 	 * Serve a call that holds a slot.
-	 * @param request the call
-	 * @param body its body
-	 * @param response the answer
-	 * @return whether the slot is given back later, by {@link #release()}
-	 * @throws IOException if the caller is gone
+	 * @param request the request
+	 * @param body the request body
+	 * @param response the reply to fill in
+	 * @return true if the subclass releases the slot later, with {@link #release()}
+	 * @throws IOException if the caller has disconnected
 	 * @throws InterruptedException if the stand-in is stopped
 	 */
 	abstract boolean serve(ClassicHttpRequest request, JsonNode body, ClassicHttpResponse response)
@@ -140,26 +140,26 @@
 	JsonNode runs() {
 		return JsonHttp.JSON.createObjectNode()
 			.put("runs", this.runs.get())
-			.put("last_new_work_ms", this.lastNewWorkMs);
+			.put("last_new_work_ms", this.lastRunStartMs);
 	}
 
 	final void release() {
-		this.gate.leave();
+		this.scheduler.release();
 	}
 
 	final int running() {
-		return this.gate.running();
+		return this.scheduler.running();
 	}
 
-	final UpstreamDefinition shape() {
-		return this.shape;
+	final UpstreamDefinition definition() {
+		return this.definition;
 	}
 
 	final UpstreamFaults faults() {
 		return this.faults;
 	}
 
-	final long scaled(double millis) {
+	final long scaledMs(double millis) {
 		double jitter;
 		synchronized (this.random) {
 			jitter = 1 - JITTER + 2 * JITTER * this.random.nextDouble();
--- a/standin/src/main/java/org/tallycart/standin/package-info.java
+++ b/standin/src/main/java/org/tallycart/standin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins for the systems that tallycart meets: platform, engines, pools, plain
- * services, and a faulty network.
+ * Test stand-ins for the systems around tallycart: the platform, model engines, worker
+ * pools, plain services, and an unreliable network.
  */
 @NullMarked
 package org.tallycart.standin;
