--- a/load/src/main/java/org/tallycart/load/CallerClient.java
+++ b/load/src/main/java/org/tallycart/load/CallerClient.java
@@ -17,9 +17,10 @@
 import org.tallycart.http.StreamedReply;
 
 /**
- * Submits requests as a caller would and checks that each answer is whole and its own.
+ * Caller that submits requests and verifies that each response is complete and belongs to
+ * its request.
  * <p>
- * Thread-safe: each call makes its own connection.
+ * Thread-safe: each call opens its own connection.
  *
  * @since 0.1
  */
@@ -29,39 +30,41 @@
 
 	private static final long CONNECT_TIMEOUT_MS = 1_000;
 
-	private static final long GRACE_MS = 500;
+	private static final long DEADLINE_GRACE_MS = 500;
 
-	private static final String EVENT_END = "event: end";
+	private static final String END_EVENT_LINE = "event: end";
 
-	private static final String DATA = "data:";
+	private static final String DATA_PREFIX = "data:";
 
 	private CallerClient() {
 	}
 
 	/**
-	 * Submit a request and wait for the end of its answer.
-	 * @param entry where to
+	 * Submit a request and wait for the end of its response.
+	 * @param entry address of the entry
 	 * @param submission the request
-	 * @return what came of it
+	 * @return the response; its outcome is {@link ReceivedResponse#NONE} if the
+	 * connection failed
 	 */
 	public static ReceivedResponse submit(Address entry, Submission submission) {
-		long beganNs = System.nanoTime();
+		long startNs = System.nanoTime();
 		Either<HttpFailure, HttpConnection> connection = HttpConnection.connect(entry, CONNECT_TIMEOUT_MS);
 		if (connection.isLeft()) {
-			return none(connection.getLeft(), beganNs);
+			return failed(connection.getLeft(), startNs);
 		}
 		try (HttpConnection open = connection.get()) {
-			long patience = submission.deadlineMs() + GRACE_MS;
-			Either<HttpFailure, StreamedReply> answer = open.callStreaming(call(submission), patience);
-			if (answer.isLeft()) {
-				return none(answer.getLeft(), beganNs);
+			long timeoutMs = submission.deadlineMs() + DEADLINE_GRACE_MS;
+			Either<HttpFailure, StreamedReply> reply = open.callStreaming(createCall(submission), timeoutMs);
+			if (reply.isLeft()) {
+				return failed(reply.getLeft(), startNs);
 			}
-			boolean streamed = answer.get().field("Content-Type").orElse("").startsWith("text/event-stream");
-			return streamed ? stream(answer.get(), submission, beganNs) : whole(answer.get(), submission, beganNs);
+			boolean streamed = reply.get().field("Content-Type").orElse("").startsWith("text/event-stream");
+			return streamed ? readStream(reply.get(), submission, startNs)
+					: readUnary(reply.get(), submission, startNs);
 		}
 	}
 
-	private static HttpCall call(Submission submission) {
+	private static HttpCall createCall(Submission submission) {
 		byte[] body;
 		try {
 			body = JSON.writeValueAsBytes(JSON.createObjectNode()
@@ -70,7 +73,7 @@
 				.put("stream", submission.stream()));
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a tree of JSON can always be written", ex);
+			throw new IllegalStateException("cannot serialize the request body of " + submission.marker(), ex);
 		}
 		HttpCall.Builder call = HttpCall.post("/v1/pipelines/" + submission.pipeline(), body)
 			.field("Tallycart-Workspace", submission.workspace())
@@ -86,51 +89,54 @@
 		return call.build();
 	}
 
-	private static ReceivedResponse none(HttpFailure failure, long beganNs) {
-		return new ReceivedResponse(ReceivedResponse.NONE, failure.kind().name(), "", "", 0, -1, millisSince(beganNs),
+	private static ReceivedResponse failed(HttpFailure failure, long startNs) {
+		return new ReceivedResponse(ReceivedResponse.NONE, failure.kind().name(), "", "", 0, -1, millisSince(startNs),
 				Map.of(), "");
 	}
 
-	private static long millisSince(long beganNs) {
-		return (System.nanoTime() - beganNs) / 1_000_000;
+	private static long millisSince(long startNs) {
+		return (System.nanoTime() - startNs) / 1_000_000;
 	}
 
-	private static ReceivedResponse whole(StreamedReply answer, Submission submission, long beganNs) {
-		return answer.readFully()
-			.fold((failure) -> none(failure, beganNs), (reply) -> read(reply.text()).map((node) -> {
-				long millis = millisSince(beganNs);
-				return answer(node, node.path("output").asText(), submission, millis, millis);
-			}).orElseGet(() -> none(new HttpFailure(HttpFailure.Kind.BROKEN, true, "not JSON"), beganNs)));
+	private static ReceivedResponse readUnary(StreamedReply reply, Submission submission, long startNs) {
+		return reply.readFully()
+			.fold((failure) -> failed(failure, startNs), (full) -> parseJson(full.text()).map((node) -> {
+				long millis = millisSince(startNs);
+				return toResponse(node, node.path("output").asText(), submission, millis, millis);
+			})
+				.orElseGet(() -> failed(new HttpFailure(HttpFailure.Kind.BROKEN, true, "response body is not JSON"),
+						startNs)));
 	}
 
-	private static ReceivedResponse stream(StreamedReply answer, Submission submission, long beganNs) {
+	private static ReceivedResponse readStream(StreamedReply reply, Submission submission, long startNs) {
 		StringBuilder text = new StringBuilder();
 		long firstMs = -1;
-		boolean end = false;
+		boolean endEvent = false;
 		while (true) {
-			Either<HttpFailure, Optional<String>> line = answer.nextLine(submission.deadlineMs() + GRACE_MS);
+			Either<HttpFailure, Optional<String>> line = reply.nextLine(submission.deadlineMs() + DEADLINE_GRACE_MS);
 			if (line.isLeft()) {
-				return none(line.getLeft(), beganNs);
+				return failed(line.getLeft(), startNs);
 			}
 			if (line.get().isEmpty()) {
-				return none(new HttpFailure(HttpFailure.Kind.BROKEN, true, "no end record"), beganNs);
+				return failed(new HttpFailure(HttpFailure.Kind.BROKEN, true, "stream ended without an end record"),
+						startNs);
 			}
 			String content = line.get().get();
-			if (content.equals(EVENT_END)) {
-				end = true;
+			if (content.equals(END_EVENT_LINE)) {
+				endEvent = true;
 			}
-			else if (content.startsWith(DATA)) {
-				Optional<JsonNode> node = read(content.substring(DATA.length()));
-				if (end && node.isPresent()) {
-					return answer(node.get(), text.toString(), submission, firstMs, millisSince(beganNs));
+			else if (content.startsWith(DATA_PREFIX)) {
+				Optional<JsonNode> node = parseJson(content.substring(DATA_PREFIX.length()));
+				if (endEvent && node.isPresent()) {
+					return toResponse(node.get(), text.toString(), submission, firstMs, millisSince(startNs));
 				}
-				node.ifPresent((piece) -> text.append(piece.path("text").asText()));
-				firstMs = (firstMs < 0) ? millisSince(beganNs) : firstMs;
+				node.ifPresent((chunk) -> text.append(chunk.path("text").asText()));
+				firstMs = (firstMs < 0) ? millisSince(startNs) : firstMs;
 			}
 		}
 	}
 
-	private static Optional<JsonNode> read(String text) {
+	private static Optional<JsonNode> parseJson(String text) {
 		try {
 			return Optional.ofNullable(JSON.readTree(text));
 		}
@@ -139,30 +145,30 @@
 		}
 	}
 
-	private static ReceivedResponse answer(JsonNode end, String output, Submission submission, long firstMs,
+	private static ReceivedResponse toResponse(JsonNode end, String output, Submission submission, long firstMs,
 			long totalMs) {
 		Map<String, Double> cost = new TreeMap<>();
 		end.path("cost").properties().forEach((entry) -> cost.put(entry.getKey(), entry.getValue().asDouble()));
 		String outcome = end.path("outcome").asText(ReceivedResponse.NONE);
-		String violation = outcome.equals("COMPLETE") ? violation(end, output, submission) : "";
+		String violation = outcome.equals("COMPLETE") ? findViolation(end, output, submission) : "";
 		return new ReceivedResponse(outcome, end.path("reason").asText(), output, end.path("request_id").asText(),
 				end.path("retry_after_ms").asLong(), firstMs, totalMs, cost, violation);
 	}
 
-	private static String violation(JsonNode end, String output, Submission submission) {
+	private static String findViolation(JsonNode end, String output, Submission submission) {
 		byte[] bytes = output.getBytes(StandardCharsets.UTF_8);
 		if (end.path("length").asInt(-1) != bytes.length) {
-			return "the end record tells " + end.path("length") + " bytes, " + bytes.length + " came";
+			return "end record states " + end.path("length") + " bytes, received " + bytes.length;
 		}
 		if (!end.path("sha256").asText().equals(Digest.of(bytes))) {
-			return "the digest differs";
+			return "SHA-256 of the output differs from the end record";
 		}
-		String expected = expected(submission);
+		String expected = expectedOutput(submission);
 		return output.equals(expected) ? ""
 				: "expected '" + abbreviate(expected) + "', got '" + abbreviate(output) + "'";
 	}
 
-	private static String expected(Submission submission) {
+	private static String expectedOutput(Submission submission) {
 		if (!submission.idempotencyKey().isEmpty()) {
 			return "done " + submission.marker();
 		}
--- a/load/src/main/java/org/tallycart/load/LoadGenerator.java
+++ b/load/src/main/java/org/tallycart/load/LoadGenerator.java
@@ -13,8 +13,8 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * Runs a scenario in open loop: requests are submitted when they are due, whether or not
- * earlier ones have ended, and each latency counts from when the request was due.
+ * Open-loop load generator: requests are submitted at their scheduled times, whether or
+ * not earlier ones have ended, and latency is measured from the scheduled time.
  * <p>
  * Not thread-safe.
  *
@@ -22,13 +22,13 @@
  */
 public final class LoadGenerator {
 
-	private static final double MILLIS = 1_000;
+	private static final double MILLIS_PER_SECOND = 1_000;
 
-	private static final long DRAIN_MS = 60_000;
+	private static final long MAX_DRAIN_MS = 60_000;
 
-	private static final int CONNECT_TRIES = 3;
+	private static final int MAX_CONNECT_ATTEMPTS = 3;
 
-	private static final long LONGEST_PAUSE_MS = 1_000;
+	private static final long MAX_PAUSE_MS = 1_000;
 
 	private final Scenario scenario;
 
@@ -47,10 +47,11 @@
 	}
 
 	/**
-	 * Run a scenario.
+	 * Run a scenario and wait for its requests to end. Requests that do not end in time
+	 * are reported as unfinished.
 	 * @param scenario the scenario
-	 * @param entries where requests may go now, as a balancer would know
-	 * @return what came of it
+	 * @param entries supplies the entry addresses currently in the balancer
+	 * @return the report
 	 */
 	public static LoadTestReport run(Scenario scenario, Supplier<List<Address>> entries) {
 		return new LoadGenerator(scenario, entries).run();
@@ -64,20 +65,20 @@
 		});
 		long startNs = System.nanoTime();
 		for (Arrival arrival : arrivals()) {
-			long dueNs = startNs + TimeUnit.MILLISECONDS.toNanos(arrival.atMs);
-			sleepUntil(dueNs);
+			long scheduledNs = startNs + TimeUnit.MILLISECONDS.toNanos(arrival.atMs);
+			sleepUntil(scheduledNs);
 			this.pending.incrementAndGet();
 			threads.execute(() -> {
-				submit(arrival, dueNs);
+				submit(arrival, scheduledNs);
 				this.pending.decrementAndGet();
 			});
 		}
-		for (long waited = 0; waited < DRAIN_MS && this.pending.get() > 0; waited++) {
+		for (long waited = 0; waited < MAX_DRAIN_MS && this.pending.get() > 0; waited++) {
 			sleepUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(1));
 		}
 		threads.shutdownNow();
-		this.report.unfinished(this.pending.get());
-		this.report.durationMs(this.scenario.durationMs());
+		this.report.setUnfinished(this.pending.get());
+		this.report.setDurationMs(this.scenario.durationMs());
 		return this.report;
 	}
 
@@ -90,15 +91,15 @@
 			boolean burst = atMs >= this.scenario.burstAtMs()
 					&& atMs < this.scenario.burstAtMs() + this.scenario.burstMs();
 			double rate = this.scenario.ratePerSecond() * (burst ? this.scenario.burstFactor() : 1);
-			atMs += -Math.log(1 - random.nextDouble()) * MILLIS / rate;
+			atMs += -Math.log(1 - random.nextDouble()) * MILLIS_PER_SECOND / rate;
 			if (atMs >= this.scenario.durationMs()) {
 				return arrivals;
 			}
-			arrivals.add(new Arrival((long) atMs, number++, pick(random), random.nextLong()));
+			arrivals.add(new Arrival((long) atMs, number++, pickKind(random), random.nextLong()));
 		}
 	}
 
-	private Scenario.RequestKind pick(Random random) {
+	private Scenario.RequestKind pickKind(Random random) {
 		double total = this.scenario.mix().stream().mapToDouble(Scenario.RequestKind::weight).sum();
 		double point = random.nextDouble() * total;
 		for (Scenario.RequestKind kind : this.scenario.mix()) {
@@ -110,7 +111,7 @@
 		return this.scenario.mix().get(this.scenario.mix().size() - 1);
 	}
 
-	private void submit(Arrival arrival, long dueNs) {
+	private void submit(Arrival arrival, long scheduledNs) {
 		Scenario.RequestKind kind = arrival.kind;
 		Random random = new Random(arrival.seed);
 		int tokens = kind.minTokens() + random.nextInt(kind.maxTokens() - kind.minTokens() + 1);
@@ -129,49 +130,49 @@
 					"Session " + random.nextInt(kind.sessions()) + " of the long common part of all its questions. ");
 		}
 		Submission submission = builder.build();
-		ReceivedResponse answer = reach(submission, random);
+		ReceivedResponse response = submitToRandomEntry(submission, random);
 		for (int i = 0; i < this.scenario.resubmissions() && !submission.idempotencyKey().isEmpty()
-				&& unsettled(answer); i++) {
-			pause(answer.retryAfterMs(), random);
-			submission = answer.outcome().equals("NOT_RUN") ? submission.withNewKey(newKey())
+				&& mayResubmit(response); i++) {
+			pauseBeforeResubmission(response.retryAfterMs(), random);
+			submission = response.outcome().equals("NOT_RUN") ? submission.withNewKey(newKey())
 					: submission.resubmission();
-			answer = reach(submission, random);
+			response = submitToRandomEntry(submission, random);
 		}
-		this.report.add(kind, workspace, submission, answer, (System.nanoTime() - dueNs) / 1_000_000);
+		this.report.add(kind, workspace, submission, response, (System.nanoTime() - scheduledNs) / 1_000_000);
 	}
 
 	private static String newKey() {
 		return Generators.timeBasedEpochGenerator().generate().toString();
 	}
 
-	private static boolean unsettled(ReceivedResponse answer) {
-		return !answer.outcome().equals("COMPLETE") && !answer.outcome().equals("FAILED");
+	private static boolean mayResubmit(ReceivedResponse response) {
+		return !response.outcome().equals("COMPLETE") && !response.outcome().equals("FAILED");
 	}
 
-	private static void pause(long wantedMs, Random random) {
+	private static void pauseBeforeResubmission(long requestedMs, Random random) {
 		sleepUntil(System.nanoTime()
-				+ TimeUnit.MILLISECONDS.toNanos(Math.min(wantedMs, LONGEST_PAUSE_MS) + random.nextInt(100)));
+				+ TimeUnit.MILLISECONDS.toNanos(Math.min(requestedMs, MAX_PAUSE_MS) + random.nextInt(100)));
 	}
 
-	private ReceivedResponse reach(Submission submission, Random random) {
-		ReceivedResponse answer = new ReceivedResponse(ReceivedResponse.NONE, "CONNECT", "", "", 0, -1, 0,
+	private ReceivedResponse submitToRandomEntry(Submission submission, Random random) {
+		ReceivedResponse response = new ReceivedResponse(ReceivedResponse.NONE, "CONNECT", "", "", 0, -1, 0,
 				java.util.Map.of(), "");
-		for (int i = 0; i < CONNECT_TRIES && answer.reason().equals("CONNECT"); i++) {
-			List<Address> known = this.entries.get();
-			if (!known.isEmpty()) {
-				answer = CallerClient.submit(known.get(random.nextInt(known.size())), submission);
+		for (int i = 0; i < MAX_CONNECT_ATTEMPTS && response.reason().equals("CONNECT"); i++) {
+			List<Address> addresses = this.entries.get();
+			if (!addresses.isEmpty()) {
+				response = CallerClient.submit(addresses.get(random.nextInt(addresses.size())), submission);
 			}
 		}
-		return answer;
+		return response;
 	}
 
-	private static void sleepUntil(long untilNs) {
-		long left = untilNs - System.nanoTime();
-		if (left <= 0) {
+	private static void sleepUntil(long deadlineNs) {
+		long remainingNs = deadlineNs - System.nanoTime();
+		if (remainingNs <= 0) {
 			return;
 		}
 		try {
-			TimeUnit.NANOSECONDS.sleep(left);
+			TimeUnit.NANOSECONDS.sleep(remainingNs);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/load/src/main/java/org/tallycart/load/LoadMain.java
+++ b/load/src/main/java/org/tallycart/load/LoadMain.java
@@ -19,7 +19,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * The program {@code tallycart-load}.
+ * Main class of {@code tallycart-load}: runs a scenario against entries and prints the
+ * report.
  * <p>
  * Not thread-safe: used by the main thread.
  *
@@ -45,8 +46,8 @@
 	private boolean check;
 
 	/**
-	 * Run the program.
-	 * @param args the command line
+	 * Start the program.
+	 * @param args the command-line arguments
 	 */
 	public static void main(String[] args) {
 		System.exit(DaemonCommand.execute(new LoadMain(), args));
@@ -55,9 +56,9 @@
 	@Override
 	public Integer call() throws IOException {
 		Path file = Objects.requireNonNull(this.scenario);
-		Either<List<Problem>, Scenario> read = Scenario.read(file.toString(), Files.readString(file));
-		if (read.isLeft()) {
-			read.getLeft().forEach((problem) -> System.err.println(problem));
+		Either<List<Problem>, Scenario> parsed = Scenario.read(file.toString(), Files.readString(file));
+		if (parsed.isLeft()) {
+			parsed.getLeft().forEach((problem) -> System.err.println(problem));
 			return ExitCode.USAGE;
 		}
 		List<Address> addresses = new ArrayList<>();
@@ -73,7 +74,7 @@
 			System.out.println(file + ": the scenario is good");
 			return ExitCode.OK;
 		}
-		LoadTestReport report = LoadGenerator.run(read.get(), () -> addresses);
+		LoadTestReport report = LoadGenerator.run(parsed.get(), () -> addresses);
 		System.out.print(report.toText());
 		if (this.json != null) {
 			Files.writeString(this.json, report.toJson().toPrettyString());
--- a/load/src/main/java/org/tallycart/load/LoadTestReport.java
+++ b/load/src/main/java/org/tallycart/load/LoadTestReport.java
@@ -10,9 +10,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What came of a load run.
+ * Results of a load run: attainment, latency, outcomes and cost.
  * <p>
- * Thread-safe while the run adds to it.
+ * Thread-safe.
  *
  * @since 0.1
  */
@@ -20,9 +20,9 @@
 
 	private static final ObjectMapper JSON = new ObjectMapper();
 
-	private static final int DIGITS = 3;
+	private static final int SIGNIFICANT_DIGITS = 3;
 
-	private static final int VIOLATIONS_KEPT = 20;
+	private static final int MAX_VIOLATIONS_LISTED = 20;
 
 	private final Map<String, RequestStats> kinds = new TreeMap<>();
 
@@ -32,7 +32,7 @@
 
 	private final Map<String, Double> cost = new TreeMap<>();
 
-	private final Map<String, String> markers = new TreeMap<>();
+	private final Map<String, String> lastOutcomes = new TreeMap<>();
 
 	private final List<String> violations = new ArrayList<>();
 
@@ -42,35 +42,36 @@
 
 	private long durationMs;
 
-	synchronized void add(Scenario.RequestKind kind, String workspace, Submission submission, ReceivedResponse answer,
-			long sinceDueMs) {
-		boolean attained = answer.isComplete() && sinceDueMs <= kind.deadlineMs();
-		List<RequestStats> parts = List.of(this.all,
+	synchronized void add(Scenario.RequestKind kind, String workspace, Submission submission, ReceivedResponse response,
+			long latencyMs) {
+		boolean attained = response.isComplete() && latencyMs <= kind.deadlineMs();
+		List<RequestStats> affected = List.of(this.all,
 				this.kinds.computeIfAbsent(kind.name(), (name) -> new RequestStats()),
 				this.workspaces.computeIfAbsent(workspace, (name) -> new RequestStats()));
-		parts.forEach((part) -> part.add(answer, attained, sinceDueMs));
-		answer.cost().forEach((name, amount) -> this.cost.merge(name, amount, Double::sum));
+		affected.forEach((stats) -> stats.add(response, attained, latencyMs));
+		response.cost().forEach((name, amount) -> this.cost.merge(name, amount, Double::sum));
 		if (!submission.idempotencyKey().isEmpty()) {
-			this.markers.put(submission.marker(), answer.outcome());
+			this.lastOutcomes.put(submission.marker(), response.outcome());
 		}
-		if (!answer.violation().isEmpty()) {
+		if (!response.violation().isEmpty()) {
 			this.violationCount++;
-			if (this.violations.size() < VIOLATIONS_KEPT) {
-				this.violations.add(answer.requestId() + ": " + answer.violation());
+			if (this.violations.size() < MAX_VIOLATIONS_LISTED) {
+				this.violations.add(response.requestId() + ": " + response.violation());
 			}
 		}
 	}
 
-	synchronized void unfinished(int count) {
+	synchronized void setUnfinished(int count) {
 		this.unfinished = count;
 	}
 
-	synchronized void durationMs(long millis) {
+	synchronized void setDurationMs(long millis) {
 		this.durationMs = millis;
 	}
 
 	/**
-	 * Return how many answers claimed to be whole and were not, or were another's.
+	 * Return the number of COMPLETE responses that were not complete or belonged to
+	 * another request.
 	 * @return the number
 	 */
 	public synchronized int violationCount() {
@@ -78,23 +79,23 @@
 	}
 
 	/**
-	 * Return what is wrong with the first of them.
-	 * @return a line for each
+	 * Return the first violations found, up to a fixed number.
+	 * @return one line for each, with the request's id
 	 */
 	public synchronized List<String> violations() {
 		return List.copyOf(this.violations);
 	}
 
 	/**
-	 * Return the last outcome told for each request that may not be repeated.
+	 * Return the last outcome received for each request with an idempotency key.
 	 * @return the outcome by the request's marker
 	 */
 	public synchronized Map<String, String> lastOutcomes() {
-		return Map.copyOf(this.markers);
+		return Map.copyOf(this.lastOutcomes);
 	}
 
 	/**
-	 * Return the share of requests answered whole within their deadline.
+	 * Return the share of requests with a complete response within their deadline.
 	 * @return from 0 to 1
 	 */
 	public synchronized double attainment() {
@@ -103,8 +104,8 @@
 
 	/**
 	 * Return the attainment of one kind of request.
-	 * @param kind the kind
-	 * @return from 0 to 1
+	 * @param kind the name of the kind
+	 * @return from 0 to 1; 0 if there were no requests of this kind
 	 */
 	public synchronized double attainment(String kind) {
 		return this.kinds.getOrDefault(kind, new RequestStats()).attainment();
@@ -112,16 +113,16 @@
 
 	/**
 	 * Return the attainment of one workspace.
-	 * @param workspace the workspace
-	 * @return from 0 to 1
+	 * @param workspace the workspace's id
+	 * @return from 0 to 1; 0 if there were no requests of this workspace
 	 */
 	public synchronized double workspaceAttainment(String workspace) {
 		return this.workspaces.getOrDefault(workspace, new RequestStats()).attainment();
 	}
 
 	/**
-	 * Return how many requests ended with an outcome.
-	 * @param outcome the outcome
+	 * Return the number of requests that ended with an outcome.
+	 * @param outcome the outcome, or a prefix of {@code OUTCOME/REASON}
 	 * @return the number
 	 */
 	public synchronized long countByOutcome(String outcome) {
@@ -133,7 +134,7 @@
 	}
 
 	/**
-	 * Return how many requests were submitted.
+	 * Return the number of requests that ended.
 	 * @return the number
 	 */
 	public synchronized long requestCount() {
@@ -141,7 +142,7 @@
 	}
 
 	/**
-	 * Return a cost by use, over all stages.
+	 * Return the cost of one use, summed over all stages.
 	 * @param use useful, retried, hedged or abandoned
 	 * @return the cost
 	 */
@@ -154,7 +155,7 @@
 	}
 
 	/**
-	 * Return whole answers within their deadline a second.
+	 * Return the number of complete responses within their deadline, per second.
 	 * @return the goodput
 	 */
 	public synchronized double goodputPerSecond() {
@@ -162,7 +163,8 @@
 	}
 
 	/**
-	 * Return a quantile of the total latency.
+	 * Return a percentile of the total latency of complete responses, from the scheduled
+	 * time.
 	 * @param percentile from 0 to 100
 	 * @return milliseconds
 	 */
@@ -171,16 +173,16 @@
 	}
 
 	/**
-	 * Write the report as JSON.
-	 * @return the tree
+	 * Return the report as JSON.
+	 * @return the JSON object
 	 */
 	public synchronized ObjectNode toJson() {
 		ObjectNode root = JSON.createObjectNode();
 		root.set("all", this.all.json());
 		ObjectNode byKind = root.putObject("kinds");
-		this.kinds.forEach((name, part) -> byKind.set(name, part.json()));
+		this.kinds.forEach((name, stats) -> byKind.set(name, stats.json()));
 		ObjectNode byWorkspace = root.putObject("workspaces");
-		this.workspaces.forEach((name, part) -> byWorkspace.set(name, part.json()));
+		this.workspaces.forEach((name, stats) -> byWorkspace.set(name, stats.json()));
 		ObjectNode costs = root.putObject("cost");
 		this.cost.forEach(costs::put);
 		root.put("goodput_per_second", goodputPerSecond());
@@ -189,16 +191,16 @@
 	}
 
 	/**
-	 * Write the report as text.
-	 * @return the text
+	 * Return the report as text.
+	 * @return a table of several lines
 	 */
 	public synchronized String toText() {
 		StringBuilder text = new StringBuilder();
 		text.append(String.format("%-22s %7s %10s %9s %9s %9s %9s  %s%n", "", "total", "attainment", "first p50",
 				"first p95", "total p50", "total p99", "outcomes"));
-		this.all.line("all", text);
-		this.kinds.forEach((name, part) -> part.line("  " + name, text));
-		this.workspaces.forEach((name, part) -> part.line("  in " + name, text));
+		this.all.appendLine("all", text);
+		this.kinds.forEach((name, stats) -> stats.appendLine("  " + name, text));
+		this.workspaces.forEach((name, stats) -> stats.appendLine("  in " + name, text));
 		text.append(String.format("cost by stage:%n"));
 		this.cost.forEach((name, amount) -> text.append(String.format("  %-32s %12.1f%n", name, amount)));
 		text.append(String.format("goodput %.1f/s, wrong or foreign answers %d, unfinished %d%n", goodputPerSecond(),
@@ -207,12 +209,12 @@
 		return text.toString();
 	}
 
-	/** The figures of some of the requests. Guarded by the report. */
+	/** Statistics of a subset of the requests. Guarded by the report's monitor. */
 	private static final class RequestStats {
 
-		private final Histogram firstMs = new Histogram(DIGITS);
+		private final Histogram firstMs = new Histogram(SIGNIFICANT_DIGITS);
 
-		private final Histogram totalMs = new Histogram(DIGITS);
+		private final Histogram totalMs = new Histogram(SIGNIFICANT_DIGITS);
 
 		private final Map<String, Long> outcomes = new TreeMap<>();
 
@@ -220,15 +222,15 @@
 
 		private long attained;
 
-		private void add(ReceivedResponse answer, boolean inTime, long sinceDueMs) {
+		private void add(ReceivedResponse response, boolean attained, long latencyMs) {
 			this.total++;
-			this.attained += inTime ? 1 : 0;
-			String outcome = answer.outcome().equals("COMPLETE") ? answer.outcome()
-					: answer.outcome() + "/" + answer.reason();
+			this.attained += attained ? 1 : 0;
+			String outcome = response.outcome().equals("COMPLETE") ? response.outcome()
+					: response.outcome() + "/" + response.reason();
 			this.outcomes.merge(outcome, 1L, Long::sum);
-			if (answer.isComplete()) {
-				this.totalMs.recordValue(sinceDueMs);
-				this.firstMs.recordValue(Math.max(answer.firstTokenMs() + sinceDueMs - answer.totalMs(), 0));
+			if (response.isComplete()) {
+				this.totalMs.recordValue(latencyMs);
+				this.firstMs.recordValue(Math.max(response.firstTokenMs() + latencyMs - response.totalMs(), 0));
 			}
 		}
 
@@ -247,7 +249,7 @@
 			return node;
 		}
 
-		private void line(String name, StringBuilder text) {
+		private void appendLine(String name, StringBuilder text) {
 			text.append(String.format("%-22s %7d %9.2f%% %9d %9d %9d %9d  %s%n", name, this.total, attainment() * 100,
 					this.firstMs.getValueAtPercentile(50), this.firstMs.getValueAtPercentile(95),
 					this.totalMs.getValueAtPercentile(50), this.totalMs.getValueAtPercentile(99), this.outcomes));
--- a/load/src/main/java/org/tallycart/load/Scenario.java
+++ b/load/src/main/java/org/tallycart/load/Scenario.java
@@ -10,15 +10,16 @@
 import org.tallycart.core.ini.SectionReader;
 
 /**
- * What load to make.
+ * Parameters of a load run.
  *
- * @param ratePerSecond arrivals a second, on average
- * @param durationMs how long requests arrive
- * @param seed of arrivals and choices
- * @param burstAtMs when a burst begins
- * @param burstMs how long it lasts; 0 for none
- * @param burstFactor by how much the rate rises in it
- * @param resubmissions how often a request that may not be repeated is submitted again
+ * @param ratePerSecond mean arrival rate, in requests a second
+ * @param durationMs time during which requests arrive
+ * @param seed seed of the arrival times and random choices
+ * @param burstAtMs start of the burst, from the start of the run
+ * @param burstMs duration of the burst; 0 for none
+ * @param burstFactor factor on the rate during the burst
+ * @param resubmissions maximum number of resubmissions of a request that is not
+ * repeatable
  * @param mix the kinds of request
  * @since 0.1
  */
@@ -31,9 +32,9 @@
 
 	/**
 	 * Read a scenario.
-	 * @param file the name to report problems under
-	 * @param text the text
-	 * @return the scenario, or everything that is wrong with it
+	 * @param file the file name for problems
+	 * @param text the scenario in INI
+	 * @return the scenario, or all problems found
 	 */
 	public static Either<List<Problem>, Scenario> read(String file, String text) {
 		List<Problem> problems = new ArrayList<>();
@@ -42,10 +43,10 @@
 		for (IniSection section : IniParser.read(file, text, problems)) {
 			SectionReader reader = SectionReader.of(section, problems);
 			if (section.kind().equals("request")) {
-				mix.add(kind(section.id(), reader));
+				mix.add(readKind(section.id(), reader));
 			}
 			else if (section.name().equals("load")) {
-				scenario = load(reader, mix);
+				scenario = readLoad(reader, mix);
 			}
 			else {
 				problems.add(new Problem(file, section.line(), 1, "[" + section.name() + "] is not a known section",
@@ -60,24 +61,24 @@
 		return problems.isEmpty() ? Either.right(scenario) : Either.left(problems);
 	}
 
-	private static Scenario load(SectionReader reader, List<RequestKind> mix) {
+	private static Scenario readLoad(SectionReader reader, List<RequestKind> mix) {
 		return new Scenario(reader.decimal("rate-per-second", 10, 0.01, MAX_RATE),
 				reader.durationMs("duration", 10_000, 1, HOUR_MS), reader.number("seed", 1, 0, Long.MAX_VALUE),
 				reader.durationMs("burst-at", 0, 0, HOUR_MS), reader.durationMs("burst-duration", 0, 0, HOUR_MS),
 				reader.decimal("burst-factor", 1, 1, 100), (int) reader.number("resubmissions", 3, 0, 100), mix);
 	}
 
-	private static RequestKind kind(String name, SectionReader reader) {
-		int most = (int) reader.number("max-tokens", 16, 1, 32_768);
+	private static RequestKind readKind(String name, SectionReader reader) {
+		int maxTokens = (int) reader.number("max-tokens", 16, 1, 32_768);
 		return new RequestKind(name, reader.decimal("weight", 1, 0, MAX_RATE), reader.text("pipeline"),
 				reader.list("workspaces"), reader.text("label", ""), reader.durationMs("deadline", 11_000, 1, HOUR_MS),
-				(int) reader.number("min-tokens", most, 1, most), most, reader.flag("stream", false),
+				(int) reader.number("min-tokens", maxTokens, 1, maxTokens), maxTokens, reader.flag("stream", false),
 				reader.flag("repeatable", true), (int) reader.number("sessions", 0, 0, 100_000));
 	}
 
 	/**
-	 * Return a copy with another rate.
-	 * @param rate arrivals a second
+	 * Return a copy with the given arrival rate.
+	 * @param rate requests a second
 	 * @return the copy
 	 */
 	public Scenario withRate(double rate) {
@@ -86,8 +87,8 @@
 	}
 
 	/**
-	 * Return a copy that lasts another time.
-	 * @param millis how long
+	 * Return a copy with the given duration.
+	 * @param millis duration in milliseconds
 	 * @return the copy
 	 */
 	public Scenario withDuration(long millis) {
@@ -96,19 +97,19 @@
 	}
 
 	/**
-	 * A kind of request.
+	 * Kind of request in the mix.
 	 *
-	 * @param name its name in the report
-	 * @param weight its share of arrivals
+	 * @param name the name in the report
+	 * @param weight share of the arrivals, relative to the other kinds
 	 * @param pipeline the pipeline
-	 * @param workspaces the workspaces it comes from
-	 * @param label the label of the kind of work
-	 * @param deadlineMs its deadline
-	 * @param minTokens tokens it asks for, at least
-	 * @param maxTokens tokens it asks for, at most
-	 * @param stream whether the answer is streamed
-	 * @param repeatable whether it may be repeated
-	 * @param sessions how many question prefixes its requests share; 0 for none
+	 * @param workspaces the workspaces, one of which is chosen at random for each request
+	 * @param label the label of the request; empty for none
+	 * @param deadlineMs deadline in milliseconds
+	 * @param minTokens minimum of the requested tokens
+	 * @param maxTokens maximum of the requested tokens
+	 * @param stream whether the response is streamed
+	 * @param repeatable whether the request may run more than once
+	 * @param sessions number of prompt prefixes that the requests share; 0 for none
 	 */
 	public record RequestKind(String name, double weight, String pipeline, List<String> workspaces, String label,
 			long deadlineMs, int minTokens, int maxTokens, boolean stream, boolean repeatable, int sessions) {
--- a/load/src/main/java/org/tallycart/load/Submission.java
+++ b/load/src/main/java/org/tallycart/load/Submission.java
@@ -1,7 +1,7 @@
 package org.tallycart.load;
 
 /**
- * One request as a caller submits it.
+ * Request as a caller submits it.
  * <p>
  * Immutable and thread-safe. Built by {@link #builder}.
  *
@@ -23,9 +23,9 @@
 
 	private final boolean stream;
 
-	private final String key;
+	private final String idempotencyKey;
 
-	private final boolean first;
+	private final boolean firstSubmission;
 
 	private final String prefix;
 
@@ -37,17 +37,17 @@
 		this.deadlineMs = builder.deadlineMs;
 		this.maxTokens = builder.maxTokens;
 		this.stream = builder.stream;
-		this.key = builder.key;
-		this.first = builder.first;
+		this.idempotencyKey = builder.idempotencyKey;
+		this.firstSubmission = builder.firstSubmission;
 		this.prefix = builder.prefix;
 	}
 
 	/**
-	 * Begin a submission.
+	 * Create a builder of a submission.
 	 * @param pipeline the pipeline
 	 * @param workspace the workspace
-	 * @param marker a text that no other request holds
-	 * @return a builder
+	 * @param marker a text that is unique to this request
+	 * @return the builder
 	 */
 	public static Builder builder(String pipeline, String workspace, String marker) {
 		return new Builder(pipeline, workspace, marker);
@@ -83,14 +83,14 @@
 
 	/**
 	 * Return the idempotency key.
-	 * @return the key; empty if the request may be repeated
+	 * @return the key; empty if the request is repeatable
 	 */
 	public String idempotencyKey() {
-		return this.key;
+		return this.idempotencyKey;
 	}
 
 	boolean isFirstSubmission() {
-		return this.first;
+		return this.firstSubmission;
 	}
 
 	String input() {
@@ -98,14 +98,14 @@
 	}
 
 	/**
-	 * Return the same request as a later submission of its key.
+	 * Return a resubmission of this request with the same key.
 	 * @return the copy
 	 */
 	public Submission resubmission() {
-		return copy().idempotencyKey(this.key).firstSubmission(false).build();
+		return toBuilder().idempotencyKey(this.idempotencyKey).firstSubmission(false).build();
 	}
 
-	private Builder copy() {
+	private Builder toBuilder() {
 		return new Builder(this.pipeline, this.workspace, this.marker).label(this.label)
 			.deadlineMs(this.deadlineMs)
 			.maxTokens(this.maxTokens)
@@ -114,12 +114,12 @@
 	}
 
 	/**
-	 * Return the same request with a new key, after an answer that it truly did not run.
+	 * Return this request with a new key. Safe only after the outcome NOT_RUN.
 	 * @param newKey the key
 	 * @return the copy
 	 */
 	public Submission withNewKey(String newKey) {
-		return copy().idempotencyKey(newKey).firstSubmission(true).build();
+		return toBuilder().idempotencyKey(newKey).firstSubmission(true).build();
 	}
 
 	/** Builds a submission. Not thread-safe. */
@@ -139,9 +139,9 @@
 
 		private boolean stream;
 
-		private String key = "";
+		private String idempotencyKey = "";
 
-		private boolean first = true;
+		private boolean firstSubmission = true;
 
 		private String prefix = "";
 
@@ -152,7 +152,7 @@
 		}
 
 		/**
-		 * Set the label of the kind of work.
+		 * Set the label, which policies can read.
 		 * @param value the label
 		 * @return this builder
 		 */
@@ -163,7 +163,7 @@
 
 		/**
 		 * Set the deadline.
-		 * @param value milliseconds
+		 * @param value milliseconds from the submission
 		 * @return this builder
 		 */
 		public Builder deadlineMs(long value) {
@@ -172,7 +172,7 @@
 		}
 
 		/**
-		 * Set how many tokens are wanted.
+		 * Set the maximum number of tokens to generate.
 		 * @param value the number
 		 * @return this builder
 		 */
@@ -182,7 +182,7 @@
 		}
 
 		/**
-		 * Set whether the answer is to be streamed.
+		 * Set whether the response is streamed.
 		 * @param value true for a stream
 		 * @return this builder
 		 */
@@ -192,27 +192,27 @@
 		}
 
 		/**
-		 * Set the idempotency key of a request that may not be repeated.
+		 * Set the idempotency key. A request with a key is submitted as not repeatable.
 		 * @param value the key
 		 * @return this builder
 		 */
 		public Builder idempotencyKey(String value) {
-			this.key = value;
+			this.idempotencyKey = value;
 			return this;
 		}
 
 		/**
-		 * Set whether this is the key's first submission.
-		 * @param value true if it is
+		 * Set whether this is the first submission of the key.
+		 * @param value true for the first submission
 		 * @return this builder
 		 */
 		public Builder firstSubmission(boolean value) {
-			this.first = value;
+			this.firstSubmission = value;
 			return this;
 		}
 
 		/**
-		 * Set a text that comes before the question, for requests that share one.
+		 * Set a text to precede the question, so that requests can share a prompt prefix.
 		 * @param value the text
 		 * @return this builder
 		 */
--- a/load/src/main/java/org/tallycart/load/package-info.java
+++ b/load/src/main/java/org/tallycart/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Open-loop load with checked answers, and its report.
+ * Open-loop load generator that verifies every response, and its report.
  */
 @NullMarked
 package org.tallycart.load;
