--- a/testbed/src/main/java/org/tallycart/testbed/CapacityCommand.java
+++ b/testbed/src/main/java/org/tallycart/testbed/CapacityCommand.java
@@ -10,7 +10,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures the slopes that docs/CAPACITY.md is worked out from.
+ * Command {@code capacity}: measures the coefficients from which docs/CAPACITY.md is
+ * derived.
  * <p>
  * Not thread-safe.
  *
@@ -20,7 +21,7 @@
 		description = "Measure the slopes of docs/CAPACITY.md: spread, cores, processes.")
 final class CapacityCommand implements Callable<Integer> {
 
-	private static final long MILLIS = 1_000;
+	private static final long MILLIS_PER_SECOND = 1_000;
 
 	@Option(names = "--part", defaultValue = "all", description = "all, spread, cores, stewards or entries.")
 	private String part = "all";
@@ -42,26 +43,26 @@
 
 	@Override
 	public Integer call() throws IOException {
-		if (wants("spread")) {
-			spread();
+		if (isSelected("spread")) {
+			simulateGossip();
 		}
-		if (wants("cores")) {
+		if (isSelected("cores")) {
 			CoreBenchmark.print(System.out);
 		}
-		if (wants("stewards")) {
-			ProcessBenchmark.stewards(System.out, this.settleS * MILLIS);
+		if (isSelected("stewards")) {
+			ProcessBenchmark.measureStewards(System.out, this.settleS * MILLIS_PER_SECOND);
 		}
-		if (wants("entries")) {
-			ProcessBenchmark.entries(System.out);
+		if (isSelected("entries")) {
+			ProcessBenchmark.measureEntries(System.out);
 		}
 		return ExitCode.OK;
 	}
 
-	private boolean wants(String name) {
+	private boolean isSelected(String name) {
 		return this.part.equals("all") || this.part.equals(name);
 	}
 
-	private void spread() {
+	private void simulateGossip() {
 		System.out.printf("%-9s %-10s %9s %8s %8s %8s %10s %10s %10s %10s%n", "stewards", "workspaces", "spread-ms",
 				"msg/s", "bytes/s", "cpu-%", "msg/change", "B/change", "list-B", "config-B");
 		for (int size : this.sizes) {
--- a/testbed/src/main/java/org/tallycart/testbed/CoreBenchmark.java
+++ b/testbed/src/main/java/org/tallycart/testbed/CoreBenchmark.java
@@ -30,17 +30,18 @@
 import org.tallycart.policy.CelPolicyCompiler;
 
 /**
- * Measures the cores in this process: claims, slot map, declarations, routing, policies.
+ * In-process benchmark of the core: claims, slot map, declarations, routing and policies.
+ * Each time is the best of several rounds.
  * <p>
- * Thread-safe: holds no state.
+ * Thread-safe: stateless.
  *
  * @since 0.1
  */
 final class CoreBenchmark {
 
-	private static final int WARM_UP = 3;
+	private static final int ROUNDS = 3;
 
-	private static final long CREATED = 1_000_000_000_000L;
+	private static final long KEY_CREATED_MS = 1_000_000_000_000L;
 
 	private static final long NANOS_PER_MS = 1_000_000;
 
@@ -50,96 +51,96 @@
 	static void print(PrintStream out) {
 		out.println("claims kept, ns a claim, bytes a claim");
 		for (int count : new int[] { 10_000, 100_000, 400_000 }) {
-			claims(out, count);
+			measureClaims(out, count);
 		}
 		out.println("slots, owners, slot map bytes, us to encode and decode");
 		for (int slots : new int[] { 64, 1_024, 4_096 }) {
-			slotMap(out, slots);
+			measureSlotMap(out, slots);
 		}
 		out.println("workspaces, declaration bytes, ms to read, bytes kept");
 		for (int count : new int[] { 1_000, 4_000, 11_000 }) {
-			declarations(out, count);
+			measureDeclarations(out, count);
 		}
 		out.println("upstreams of a service, ns a routing decision");
 		for (int count : new int[] { 10, 100, 1_000 }) {
-			routing(out, count);
+			measureRouting(out, count);
 		}
-		policy(out);
+		measurePolicy(out);
 	}
 
-	private static long cpuNs() {
+	private static long threadCpuNs() {
 		return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
 	}
 
-	private static long usedBytes() {
-		for (int i = 0; i < WARM_UP; i++) {
+	private static long usedHeapBytes() {
+		for (int i = 0; i < ROUNDS; i++) {
 			System.gc();
 		}
 		return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
 	}
 
-	private static void claims(PrintStream out, int count) {
-		long best = Long.MAX_VALUE;
-		long bytes = 0;
-		for (int round = 0; round < WARM_UP; round++) {
+	private static void measureClaims(PrintStream out, int count) {
+		long bestNs = Long.MAX_VALUE;
+		long bytesPerClaim = 0;
+		for (int round = 0; round < ROUNDS; round++) {
 			List<IdempotencyKey> keys = new ArrayList<>();
 			Random random = new Random(round);
 			for (int i = 0; i < count; i++) {
-				UUID uuid = new UUID((CREATED + i / 100 << 16) | 0x7000, random.nextLong());
+				UUID uuid = new UUID((KEY_CREATED_MS + i / 100 << 16) | 0x7000, random.nextLong());
 				keys.add(IdempotencyKey.parse(uuid.toString()).get());
 			}
 			ClaimTable table = ClaimTable.create("vm", 1, new IdempotencyKeyWindow(600_000, 1_000));
-			table.applySlotMap(SlotMap.empty(1).assign(List.of(0), "vm", 1, false), CREATED);
-			long before = usedBytes();
-			long began = cpuNs();
+			table.applySlotMap(SlotMap.empty(1).assign(List.of(0), "vm", 1, false), KEY_CREATED_MS);
+			long bytesBefore = usedHeapBytes();
+			long startNs = threadCpuNs();
 			for (int i = 0; i < count; i++) {
-				table.claim(keys.get(i), new ClaimHolder("vm-7", "attempt-" + i), 1, CREATED + i / 100);
+				table.claim(keys.get(i), new ClaimHolder("vm-7", "attempt-" + i), 1, KEY_CREATED_MS + i / 100);
 			}
-			best = Math.min(best, (cpuNs() - began) / count);
-			bytes = (usedBytes() - before) / count;
+			bestNs = Math.min(bestNs, (threadCpuNs() - startNs) / count);
+			bytesPerClaim = (usedHeapBytes() - bytesBefore) / count;
 			if (table.size() != count) {
-				throw new IllegalStateException("claims were lost");
+				throw new IllegalStateException("expected " + count + " claims in the table, found " + table.size());
 			}
 		}
-		out.printf("%9d %6d %6d%n", count, best, bytes);
+		out.printf("%9d %6d %6d%n", count, bestNs, bytesPerClaim);
 	}
 
-	private static void slotMap(PrintStream out, int slots) {
+	private static void measureSlotMap(PrintStream out, int slots) {
 		SlotMap map = SlotMap.empty(slots);
 		for (int slot = 0; slot < slots; slot++) {
 			map = map.assign(List.of(slot), "vm-" + slot % 2_000, 1_796_000_000_000L, false);
 		}
-		long best = Long.MAX_VALUE;
+		long bestNs = Long.MAX_VALUE;
 		String text = "";
 		for (int round = 0; round < 50; round++) {
-			long began = cpuNs();
+			long startNs = threadCpuNs();
 			text = map.encode();
 			SlotMap.decode(text);
-			best = Math.min(best, cpuNs() - began);
+			bestNs = Math.min(bestNs, threadCpuNs() - startNs);
 		}
-		out.printf("%6d %6d %8d %8d%n", slots, Math.min(slots, 2_000), text.length(), best / 1_000);
+		out.printf("%6d %6d %8d %8d%n", slots, Math.min(slots, 2_000), text.length(), bestNs / 1_000);
 	}
 
-	private static void declarations(PrintStream out, int count) {
+	private static void measureDeclarations(PrintStream out, int count) {
 		StringBuilder text = new StringBuilder();
 		for (int i = 0; i < count; i++) {
 			text.append("[workspace shop-").append(i).append("]\nrequests-per-second = 20\nweight = 1\n\n");
 		}
-		long best = Long.MAX_VALUE;
-		long kept = 0;
-		for (int round = 0; round < WARM_UP; round++) {
-			long before = usedBytes();
-			long began = cpuNs();
-			Object read = DeclarationReader.read(IniParser.read("all.ini", text.toString(), new ArrayList<>()),
+		long bestNs = Long.MAX_VALUE;
+		long retainedBytes = 0;
+		for (int round = 0; round < ROUNDS; round++) {
+			long bytesBefore = usedHeapBytes();
+			long startNs = threadCpuNs();
+			Object declarations = DeclarationReader.read(IniParser.read("all.ini", text.toString(), new ArrayList<>()),
 					(section, source) -> List.of());
-			best = Math.min(best, cpuNs() - began);
-			kept = usedBytes() - before;
-			Reference.reachabilityFence(read);
+			bestNs = Math.min(bestNs, threadCpuNs() - startNs);
+			retainedBytes = usedHeapBytes() - bytesBefore;
+			Reference.reachabilityFence(declarations);
 		}
-		out.printf("%7d %9d %6d %9d%n", count, text.length(), best / NANOS_PER_MS, kept);
+		out.printf("%7d %9d %6d %9d%n", count, text.length(), bestNs / NANOS_PER_MS, retainedBytes);
 	}
 
-	private static void routing(PrintStream out, int count) {
+	private static void measureRouting(PrintStream out, int count) {
 		List<Upstream> upstreams = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
 			upstreams.add(new Upstream("u" + i, new Address("10.0.0.1", 1 + i), "lac", 8));
@@ -150,20 +151,20 @@
 		TwoChoicesBalancer balancer = TwoChoicesBalancer.withAgeDiscount(1_000);
 		Random random = new Random(1);
 		int decisions = 2_000_000 / count;
-		long best = Long.MAX_VALUE;
-		for (int round = 0; round < WARM_UP; round++) {
-			long began = cpuNs();
+		long bestNs = Long.MAX_VALUE;
+		for (int round = 0; round < ROUNDS; round++) {
+			long startNs = threadCpuNs();
 			for (int i = 0; i < decisions; i++) {
 				String id = balancer.choose(table.candidates("s", Set.of(), i), random::nextInt).upstream().id();
 				table.onStart(id);
 				table.onSuccess("s", id, 1, 10, i);
 			}
-			best = Math.min(best, (cpuNs() - began) / decisions);
+			bestNs = Math.min(bestNs, (threadCpuNs() - startNs) / decisions);
 		}
-		out.printf("%6d %8d%n", count, best);
+		out.printf("%6d %8d%n", count, bestNs);
 	}
 
-	private static void policy(PrintStream out) {
+	private static void measurePolicy(PrintStream out) {
 		Policy policy = CelPolicyCompiler.create()
 			.compile(new PolicySource("p", "request.workspace != 'blocked'",
 					"request.label == 'courier' ? 30 : request.label == 'clerk' ? 20 : 10",
@@ -172,17 +173,17 @@
 		RequestFacts facts = new RequestFacts("shop-1", "assistant", "clerk", true, 4_000, 32);
 		UpstreamFacts upstream = new UpstreamFacts("g1", "lac", true, 1, 2, 300, 4);
 		int evaluations = 200_000;
-		long best = Long.MAX_VALUE;
-		for (int round = 0; round < WARM_UP; round++) {
-			long began = cpuNs();
+		long bestNs = Long.MAX_VALUE;
+		for (int round = 0; round < ROUNDS; round++) {
+			long startNs = threadCpuNs();
 			for (int i = 0; i < evaluations; i++) {
 				policy.admit(facts);
 				policy.priority(facts);
 				policy.place(facts, upstream);
 			}
-			best = Math.min(best, (cpuNs() - began) / (3L * evaluations));
+			bestNs = Math.min(bestNs, (threadCpuNs() - startNs) / (3L * evaluations));
 		}
-		out.println("ns a policy rule: " + best);
+		out.println("ns a policy rule: " + bestNs);
 	}
 
 }
--- a/testbed/src/main/java/org/tallycart/testbed/DemoCommand.java
+++ b/testbed/src/main/java/org/tallycart/testbed/DemoCommand.java
@@ -19,7 +19,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * The main job, on stand-ins: both deployments' fleets, questions in, whole answers out.
+ * Command {@code demo}: runs the fleets of both deployments on stand-ins under their
+ * scenarios, and prints the reports and the time line of one request.
  * <p>
  * Not thread-safe.
  *
@@ -41,34 +42,35 @@
 		return (wrong != 0) ? ExitCode.FAILED : ExitCode.OK;
 	}
 
-	private int run(FleetDefinition shape, String pipeline) throws IOException {
-		System.out.println("== " + shape.name() + ": " + shape.vms() + " VMs, failure domains " + shape.domains());
-		try (LocalFleet fleet = LocalFleet.start(shape)) {
-			Scenario scenario = scenario(shape.name()).withDuration(this.durationS * 1_000L);
+	private int run(FleetDefinition definition, String pipeline) throws IOException {
+		System.out.println(
+				"== " + definition.name() + ": " + definition.vms() + " VMs, failure domains " + definition.domains());
+		try (LocalFleet fleet = LocalFleet.start(definition)) {
+			Scenario scenario = readScenario(definition.name()).withDuration(this.durationS * 1_000L);
 			LoadTestReport report = LoadGenerator.run(scenario, fleet::entryAddresses);
 			System.out.print(report.toText());
 			String workspace = scenario.mix().get(0).workspaces().get(0);
-			ReceivedResponse answer = CallerClient.submit(fleet.entryAddresses().get(0),
+			ReceivedResponse response = CallerClient.submit(fleet.entryAddresses().get(0),
 					Submission.builder(pipeline, workspace, "one").maxTokens(4).stream(true).build());
 			System.out
-				.println("One request: " + answer.outcome() + " '" + answer.output().strip() + "'. Its time line:");
-			TallyctlMain.execute("timeline", "--fleet", fleet.statusAddresses(), "--request", answer.requestId());
+				.println("One request: " + response.outcome() + " '" + response.output().strip() + "'. Its time line:");
+			TallyctlMain.execute("timeline", "--fleet", fleet.statusAddresses(), "--request", response.requestId());
 			return report.violationCount();
 		}
 	}
 
-	static Scenario scenario(String name) throws IOException {
+	static Scenario readScenario(String name) throws IOException {
 		String file = "/scenarios/" + name + ".ini";
 		try (InputStream in = DemoCommand.class.getResourceAsStream(file)) {
 			if (in == null) {
-				throw new IOException("no scenario " + file);
+				throw new IOException("scenario not found on the class path: " + file);
 			}
 			return Scenario.read(file, new String(in.readAllBytes(), StandardCharsets.UTF_8))
-				.getOrElseThrow((problems) -> new IllegalStateException(text(problems)));
+				.getOrElseThrow((problems) -> new IllegalStateException(join(problems)));
 		}
 	}
 
-	private static String text(List<Problem> problems) {
+	private static String join(List<Problem> problems) {
 		return String.join("; ", problems.stream().map(Problem::toString).toList());
 	}
 
--- a/testbed/src/main/java/org/tallycart/testbed/ExperimentCommand.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ExperimentCommand.java
@@ -19,7 +19,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs the same load under different decisions, in turns on one fleet, and under faults.
+ * Command {@code experiment}: runs cases of load and faults on one fleet of each size,
+ * some of them with each balancer in turn.
  * <p>
  * Not thread-safe.
  *
@@ -32,20 +33,20 @@
 	private static final List<String> WORKSPACES = List.of("chapinero-norte", "fontibon-plaza", "kennedy-central",
 			"usaquen-mercado");
 
-	private static final String CHOSEN = "least-load-aged";
+	private static final String DEFAULT_BALANCER = "least-load-aged";
 
-	private static final List<String> BALANCERS = List.of(CHOSEN, "two-choices-aged", "two-choices", "least-in-flight",
-			"round-robin");
+	private static final List<String> BALANCERS = List.of(DEFAULT_BALANCER, "two-choices-aged", "two-choices",
+			"least-in-flight", "round-robin");
 
-	private static final String MENDED = "{\"slow_factor\":1,\"fail_percent\":0,\"hang\":false,\"report_lag_ms\":0}";
+	private static final String NO_FAULTS = "{\"slow_factor\":1,\"fail_percent\":0,\"hang\":false,\"report_lag_ms\":0}";
 
 	/**
-	 * Requests a second that keep the engines' eight slots busy: 8 / (20 ms + 32 tokens
+	 * Requests per second that saturate the engines' eight slots: 8 / (20 ms + 32 tokens
 	 * of 5.25 ms).
 	 */
-	private static final double CAPACITY = 8 / 0.188;
+	private static final double CAPACITY_PER_SECOND = 8 / 0.188;
 
-	private static final long APPLY_MS = 1_500;
+	private static final long APPLY_DELAY_MS = 1_500;
 
 	@Option(names = "--duration-s", defaultValue = "8", description = "Seconds of each run. Default: ${DEFAULT-VALUE}")
 	private int durationS;
@@ -70,11 +71,11 @@
 		System.out.printf("%-4s %-26s %-17s %6s %9s %8s %6s %6s %7s %9s %7s%n", "VMs", "situation", "balancer", "load%",
 				"attained", "goodput", "p50", "p99", "extra%", "abandon%", "wrong");
 		for (int size : this.vms) {
-			try (LocalFleet fleet = LocalFleet.start(shape(size), this.settings)) {
-				run(fleet, size, ExperimentCase.steady("warm-up", 60, mix()), CHOSEN, false);
-				for (ExperimentCase trial : trials()) {
-					if (trial.name().startsWith(this.only)) {
-						turns(fleet, size, trial);
+			try (LocalFleet fleet = LocalFleet.start(createDefinition(size), this.settings)) {
+				run(fleet, size, ExperimentCase.steady("warm-up", 60, mix()), DEFAULT_BALANCER, false);
+				for (ExperimentCase experimentCase : cases()) {
+					if (experimentCase.name().startsWith(this.only)) {
+						runWithBalancers(fleet, size, experimentCase);
 					}
 				}
 			}
@@ -85,50 +86,51 @@
 		return ExitCode.OK;
 	}
 
-	private void turns(LocalFleet fleet, int size, ExperimentCase trial) throws IOException {
-		boolean compares = trial.name().startsWith("steady 90") || trial.name().startsWith("lag");
-		for (String balancer : compares ? BALANCERS : List.of(CHOSEN)) {
-			run(fleet, size, trial, balancer, true);
+	private void runWithBalancers(LocalFleet fleet, int size, ExperimentCase experimentCase) throws IOException {
+		boolean compareBalancers = experimentCase.name().startsWith("steady 90")
+				|| experimentCase.name().startsWith("lag");
+		for (String balancer : compareBalancers ? BALANCERS : List.of(DEFAULT_BALANCER)) {
+			run(fleet, size, experimentCase, balancer, true);
 		}
 	}
 
-	private void run(LocalFleet fleet, int size, ExperimentCase trial, String balancer, boolean print)
+	private void run(LocalFleet fleet, int size, ExperimentCase experimentCase, String balancer, boolean print)
 			throws IOException {
 		fleet.applyDeclarations(fleet.declarations().replace("kind = ", "balancer = " + balancer + "\nkind = "));
-		Await.sleep(APPLY_MS);
-		trial.begin().on(fleet);
+		Await.sleep(APPLY_DELAY_MS);
+		experimentCase.injectFault().applyTo(fleet);
 		long millis = this.durationS * 1_000L;
-		Scenario scenario = new Scenario(CAPACITY * trial.loadPercent() / 100, millis, 3, millis / 4, millis / 4,
-				trial.burstFactor(), 0, trial.kinds());
+		Scenario scenario = new Scenario(CAPACITY_PER_SECOND * experimentCase.loadPercent() / 100, millis, 3,
+				millis / 4, millis / 4, experimentCase.burstFactor(), 0, experimentCase.kinds());
 		LoadTestReport report = LoadGenerator.run(scenario, fleet::entryAddresses);
-		trial.end().on(fleet);
+		experimentCase.clearFault().applyTo(fleet);
 		if (print) {
-			print(size, trial, balancer, report);
+			print(size, experimentCase, balancer, report);
 		}
 	}
 
-	private void print(int size, ExperimentCase trial, String balancer, LoadTestReport report) {
+	private void print(int size, ExperimentCase experimentCase, String balancer, LoadTestReport report) {
 		double useful = report.cost("useful");
 		double extra = report.cost("retried") + report.cost("hedged");
 		double abandoned = report.cost("abandoned");
-		double all = Math.max(useful + extra + abandoned, 1);
-		System.out.printf("%-4d %-26s %-17s %6d %8.2f%% %8.1f %6d %6d %6.2f%% %8.2f%% %7d%n", size, trial.name(),
-				balancer, trial.loadPercent(), report.attainment() * 100, report.goodputPerSecond(),
-				report.latencyPercentileMs(50), report.latencyPercentileMs(99), 100 * extra / all,
-				100 * abandoned / all, report.violationCount());
-		trial.kinds().forEach((kind) -> {
-			if (trial.kinds().size() > 1) {
+		double total = Math.max(useful + extra + abandoned, 1);
+		System.out.printf("%-4d %-26s %-17s %6d %8.2f%% %8.1f %6d %6d %6.2f%% %8.2f%% %7d%n", size,
+				experimentCase.name(), balancer, experimentCase.loadPercent(), report.attainment() * 100,
+				report.goodputPerSecond(), report.latencyPercentileMs(50), report.latencyPercentileMs(99),
+				100 * extra / total, 100 * abandoned / total, report.violationCount());
+		experimentCase.kinds().forEach((kind) -> {
+			if (experimentCase.kinds().size() > 1) {
 				System.out.printf("       %-44s %8.2f%%%n", kind.name(), report.attainment(kind.name()) * 100);
 			}
 		});
 		this.reports.addObject()
 			.put("vms", size)
-			.put("situation", trial.name())
+			.put("situation", experimentCase.name())
 			.put("balancer", balancer)
 			.set("report", report.toJson());
 	}
 
-	private static FleetDefinition shape(int size) {
+	private static FleetDefinition createDefinition(int size) {
 		return FleetDefinition.bogota(size)
 			.withServices(List.of(new ServiceDefinition("encode", "encode", 2, 4, 4, 0, 1, 0),
 					new ServiceDefinition("retrieve", "retrieve", 2, 4, 6, 0, 1, 0),
@@ -141,40 +143,40 @@
 	}
 
 	private static Scenario.RequestKind kind(String name, double weight, List<String> workspaces, long deadlineMs,
-			int least, int most) {
-		return new Scenario.RequestKind(name, weight, "assistant", workspaces, "shopper", deadlineMs, least, most, true,
-				true, 0);
+			int minTokens, int maxTokens) {
+		return new Scenario.RequestKind(name, weight, "assistant", workspaces, "shopper", deadlineMs, minTokens,
+				maxTokens, true, true, 0);
 	}
 
 	private static List<Scenario.RequestKind> mix() {
 		return List.of(kind("question", 1, WORKSPACES, 1_500, 16, 48));
 	}
 
-	private List<ExperimentCase> trials() {
-		List<ExperimentCase> trials = new ArrayList<>();
+	private List<ExperimentCase> cases() {
+		List<ExperimentCase> cases = new ArrayList<>();
 		for (int load : new int[] { 60, 90, 100, 120 }) {
-			trials.add(ExperimentCase.steady("steady " + load, load, mix()));
+			cases.add(ExperimentCase.steady("steady " + load, load, mix()));
 		}
-		trials.add(new ExperimentCase("burst of 5", 60, 5, mix(), ExperimentCase.NOTHING, ExperimentCase.NOTHING));
-		trials.add(ExperimentCase.steady("after the burst", 60, mix()));
+		cases.add(new ExperimentCase("burst of 5", 60, 5, mix(), ExperimentCase.NO_ACTION, ExperimentCase.NO_ACTION));
+		cases.add(ExperimentCase.steady("after the burst", 60, mix()));
 		for (String stage : List.of("encode", "rerank", "generate")) {
-			trials.add(
-					ExperimentCase.fault("straggler in " + stage, mix(), stage + "-1", "{\"slow_factor\":10}", MENDED));
+			cases.add(ExperimentCase.fault("straggler in " + stage, mix(), stage + "-1", "{\"slow_factor\":10}",
+					NO_FAULTS));
 		}
-		trials.add(ExperimentCase.fault("rerank fails 20%", mix(), "rerank", "{\"fail_percent\":20}", MENDED));
-		trials.add(ExperimentCase.fault("retrieve-1 never answers", mix(), "retrieve-1", "{\"hang\":true}", MENDED));
-		trials.add(ExperimentCase.fault("lag of reports 5 s", mix(), "generate", "{\"report_lag_ms\":5000}", MENDED));
-		trials
+		cases.add(ExperimentCase.fault("rerank fails 20%", mix(), "rerank", "{\"fail_percent\":20}", NO_FAULTS));
+		cases.add(ExperimentCase.fault("retrieve-1 never answers", mix(), "retrieve-1", "{\"hang\":true}", NO_FAULTS));
+		cases.add(ExperimentCase.fault("lag of reports 5 s", mix(), "generate", "{\"report_lag_ms\":5000}", NO_FAULTS));
+		cases
 			.add(ExperimentCase.steady("one workspace floods", 150, List.of(kind("quiet", 1, WORKSPACES, 1_500, 16, 48),
 					kind("flood", 2, List.of("suba-express"), 1_500, 16, 48))));
-		trials.add(ExperimentCase.steady("long beside short", 100,
+		cases.add(ExperimentCase.steady("long beside short", 100,
 				List.of(kind("short", 6, WORKSPACES, 1_000, 4, 12), kind("long", 1, WORKSPACES, 20_000, 120, 160))));
-		trials.add(new ExperimentCase("entry killed", 60, 1, mix(), (fleet) -> kill(fleet, 0),
+		cases.add(new ExperimentCase("entry killed", 60, 1, mix(), (fleet) -> killDuringLoad(fleet, 0),
 				(fleet) -> fleet.restartEntry(0)));
-		return trials;
+		return cases;
 	}
 
-	private static void kill(LocalFleet fleet, int number) {
+	private static void killDuringLoad(LocalFleet fleet, int number) {
 		new Thread(() -> {
 			Await.sleep(2_000);
 			fleet.vm(number).entry().kill();
--- a/testbed/src/main/java/org/tallycart/testbed/FleetDefinition.java
+++ b/testbed/src/main/java/org/tallycart/testbed/FleetDefinition.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a local fleet is made of.
+ * Definition of a local fleet: its VMs, services and declarations.
  * <p>
  * Immutable and thread-safe.
  *
  * @param name the fleet's name
- * @param vms how many VMs run an entry and a steward
- * @param domains the failure domains
+ * @param vms number of VMs, each with an entry and a steward
+ * @param domains the failure domains, assigned to VMs and upstreams in turn
  * @param services the services
- * @param declarations declarations beside those of the services, in INI
+ * @param declarations declarations in addition to those of the services, in INI
  * @param upstreamProxies whether entries reach upstreams through fault-injecting proxies
  * @param platformProxies whether stewards reach the platform through fault-injecting
  * proxies
@@ -20,7 +20,7 @@
 public record FleetDefinition(String name, int vms, List<String> domains, List<ServiceDefinition> services,
 		String declarations, boolean upstreamProxies, boolean platformProxies) {
 
-	private static final String BOGOTA = """
+	private static final String BOGOTA_DECLARATIONS = """
 			[pipeline assistant]
 			stages = encode, retrieve, rerank, generate
 			deadline = 11s
@@ -59,7 +59,7 @@
 			priority = request.label == 'courier' ? 30 : request.label == 'clerk' ? 20 : 10
 			""";
 
-	private static final String TUNIS = """
+	private static final String TUNIS_DECLARATIONS = """
 			[pipeline annotate]
 			stages = encode, retrieve, rerank, generate
 			deadline = 60s
@@ -92,9 +92,9 @@
 			""";
 
 	/**
-	 * Return the shape of the groceries in Bogotá.
-	 * @param vms how many VMs
-	 * @return the shape
+	 * Return the definition of the grocery deployment in Bogotá.
+	 * @param vms number of VMs
+	 * @return the definition
 	 */
 	public static FleetDefinition bogota(int vms) {
 		return new FleetDefinition("bogota", vms, List.of("usaquen", "chapinero", "fontibon", "kennedy"),
@@ -106,13 +106,13 @@
 						new ServiceDefinition("catalogue", "plain", 4, 4, 10, 0, 1, 0),
 						new ServiceDefinition("payment", "plain", 4, 4, 20, 0, 1, 0),
 						new ServiceDefinition("portal", "plain", 4, 4, 10, 0, 1, 0)),
-				BOGOTA, false, false);
+				BOGOTA_DECLARATIONS, false, false);
 	}
 
 	/**
-	 * Return the shape of the archive at Tunis.
-	 * @param vms how many VMs
-	 * @return the shape
+	 * Return the definition of the archive deployment in Tunis.
+	 * @param vms number of VMs
+	 * @return the definition
 	 */
 	public static FleetDefinition tunis(int vms) {
 		return new FleetDefinition("tunis", vms, List.of("lac", "charguia", "ariana", "megrine"),
@@ -121,7 +121,7 @@
 						new ServiceDefinition("rerank", "rerank", 4, 4, 8, 0, 2, 0),
 						new ServiceDefinition("generate", "generate", 13, 4, 20, 3, 2, 0.5),
 						new ServiceDefinition("archive-catalogue", "plain", 4, 4, 15, 0, 1, 0)),
-				TUNIS, false, false);
+				TUNIS_DECLARATIONS, false, false);
 	}
 
 	/**
@@ -143,28 +143,28 @@
 	}
 
 	/**
-	 * Return a copy with other services.
-	 * @param next the services
+	 * Return a copy with the given services.
+	 * @param newServices the services
 	 * @return the copy
 	 */
-	public FleetDefinition withServices(List<ServiceDefinition> next) {
-		return new FleetDefinition(this.name, this.vms, this.domains, next, this.declarations, this.upstreamProxies,
-				this.platformProxies);
+	public FleetDefinition withServices(List<ServiceDefinition> newServices) {
+		return new FleetDefinition(this.name, this.vms, this.domains, newServices, this.declarations,
+				this.upstreamProxies, this.platformProxies);
 	}
 
 	/**
-	 * Return a copy with other declarations beside those of the services.
-	 * @param next the declarations
+	 * Return a copy with the given declarations in addition to those of the services.
+	 * @param newDeclarations the declarations in INI
 	 * @return the copy
 	 */
-	public FleetDefinition withDeclarations(String next) {
-		return new FleetDefinition(this.name, this.vms, this.domains, this.services, next, this.upstreamProxies,
-				this.platformProxies);
+	public FleetDefinition withDeclarations(String newDeclarations) {
+		return new FleetDefinition(this.name, this.vms, this.domains, this.services, newDeclarations,
+				this.upstreamProxies, this.platformProxies);
 	}
 
 	/**
-	 * Return the failure domain of the VM or worker of a number.
-	 * @param number from 0
+	 * Return the failure domain of a VM or worker.
+	 * @param number index of the VM or worker, from 0
 	 * @return the domain
 	 */
 	String domain(int number) {
--- a/testbed/src/main/java/org/tallycart/testbed/FleetDirectory.java
+++ b/testbed/src/main/java/org/tallycart/testbed/FleetDirectory.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Where a local fleet's settings and logs are.
+ * Directory with the settings and logs of a local fleet.
  * <p>
- * Thread-safe: immutable, and each process has files of its own.
+ * Thread-safe: immutable, and each process has its own files.
  *
  * @since 0.1
  */
@@ -25,12 +25,12 @@
 	}
 
 	/**
-	 * Create a directory for a fleet.
+	 * Create a temporary directory for a fleet.
 	 * @param name the fleet's name
-	 * @param overrides settings by {@code program.section.key}, which go before all
-	 * others
+	 * @param overrides settings by {@code program.section.key}, which take precedence
+	 * over all others
 	 * @return the directory
-	 * @throws IOException if it cannot be made
+	 * @throws IOException if the directory cannot be created
 	 */
 	static FleetDirectory create(String name, Map<String, String> overrides) throws IOException {
 		return new FleetDirectory(Files.createTempDirectory("tallycart-" + name + "-"), Map.copyOf(overrides));
@@ -49,14 +49,14 @@
 	}
 
 	/**
-	 * Write a program's settings.
-	 * @param program the program, as overrides name it
-	 * @param vm the VM
-	 * @param sections the settings by section and key
+	 * Write the settings file of a program, with the overrides applied.
+	 * @param program the program, as named in overrides
+	 * @param vm the VM's id
+	 * @param sections the settings by section and key; the overrides are added to it
 	 * @return the file
-	 * @throws IOException if it cannot be written
+	 * @throws IOException if the file cannot be written
 	 */
-	Path settings(String program, String vm, Map<String, Map<String, String>> sections) throws IOException {
+	Path writeSettings(String program, String vm, Map<String, Map<String, String>> sections) throws IOException {
 		this.overrides.forEach((name, value) -> {
 			String[] path = name.split("\\.", 3);
 			if (path[0].equals(program)) {
--- a/testbed/src/main/java/org/tallycart/testbed/LocalFleet.java
+++ b/testbed/src/main/java/org/tallycart/testbed/LocalFleet.java
@@ -22,20 +22,20 @@
 import org.tallycart.standin.FaultProxy;
 
 /**
- * A fleet of real processes on this machine: stand-ins, and for each VM a steward and an
- * entry.
+ * Fleet of real processes on this machine: the stand-ins in one process, and a steward
+ * and an entry for each VM.
  * <p>
- * Not thread-safe, but for {@link #entryAddresses()}.
+ * Not thread-safe, except for {@link #entryAddresses()}.
  *
  * @since 0.1
  */
 public final class LocalFleet implements AutoCloseable {
 
-	private static final long START_MS = 60_000;
+	private static final long START_TIMEOUT_MS = 60_000;
 
 	private static final String PLATFORM = "platform";
 
-	private final FleetDefinition shape;
+	private final FleetDefinition definition;
 
 	private final FleetDirectory directory;
 
@@ -50,43 +50,43 @@
 	private ManagedProcess standins;
 
 	@SuppressWarnings("NullAway.Init")
-	private LocalFleet(FleetDefinition shape, FleetDirectory directory) {
-		this.shape = shape;
+	private LocalFleet(FleetDefinition definition, FleetDirectory directory) {
+		this.definition = definition;
 		this.directory = directory;
 	}
 
 	/**
 	 * Start a fleet and wait until it is ready.
-	 * @param shape what it is made of
+	 * @param definition the fleet's definition
 	 * @return the fleet
-	 * @throws IOException if it cannot be started
+	 * @throws IOException if the fleet cannot be started
 	 */
-	public static LocalFleet start(FleetDefinition shape) throws IOException {
-		return start(shape, Map.of());
+	public static LocalFleet start(FleetDefinition definition) throws IOException {
+		return start(definition, Map.of());
 	}
 
 	/**
-	 * Start a fleet with settings of its own and wait until it is ready.
-	 * @param shape what it is made of
-	 * @param settings extra settings, by {@code program.section.key}
+	 * Start a fleet with additional settings and wait until it is ready.
+	 * @param definition the fleet's definition
+	 * @param settings additional settings by {@code program.section.key}
 	 * @return the fleet
-	 * @throws IOException if it cannot be started
+	 * @throws IOException if the fleet cannot be started
 	 */
-	public static LocalFleet start(FleetDefinition shape, Map<String, String> settings) throws IOException {
-		return start(shape, settings, List.of("-XX:TieredStopAtLevel=1"));
+	public static LocalFleet start(FleetDefinition definition, Map<String, String> settings) throws IOException {
+		return start(definition, settings, List.of("-XX:TieredStopAtLevel=1"));
 	}
 
 	/**
-	 * Start a fleet with settings and JVM options of its own and wait until it is ready.
-	 * @param shape what it is made of
-	 * @param settings extra settings, by {@code program.section.key}
-	 * @param jvmOptions options of every process's JVM
+	 * Start a fleet with additional settings and JVM options and wait until it is ready.
+	 * @param definition the fleet's definition
+	 * @param settings additional settings by {@code program.section.key}
+	 * @param jvmOptions options of the JVMs of all processes
 	 * @return the fleet
-	 * @throws IOException if it cannot be started
+	 * @throws IOException if the fleet cannot be started
 	 */
-	public static LocalFleet start(FleetDefinition shape, Map<String, String> settings, List<String> jvmOptions)
+	public static LocalFleet start(FleetDefinition definition, Map<String, String> settings, List<String> jvmOptions)
 			throws IOException {
-		LocalFleet fleet = new LocalFleet(shape, FleetDirectory.create(shape.name(), settings));
+		LocalFleet fleet = new LocalFleet(definition, FleetDirectory.create(definition.name(), settings));
 		fleet.jvmOptions.addAll(jvmOptions);
 		try {
 			fleet.startAll();
@@ -100,24 +100,25 @@
 
 	private void startAll() throws IOException {
 		this.standins = ManagedProcess.start("org.tallycart.standin.StandinMain",
-				this.directory.write("standin.ini", standinSettings()), this.directory.log("standin"), jvm("-Xmx768m"));
-		for (int i = 0; i < this.shape.vms(); i++) {
-			this.vms.add(new VmProcesses("vm-" + (i + 1), this.shape.domain(i)));
+				this.directory.write("standin.ini", standinSettings()), this.directory.log("standin"),
+				jvmOptionsWith("-Xmx768m"));
+		for (int i = 0; i < this.definition.vms(); i++) {
+			this.vms.add(new VmProcesses("vm-" + (i + 1), this.definition.domain(i)));
 		}
-		together(this::startSteward);
+		startInParallel(this::startSteward);
 		publishVms();
-		together(this::startEntry);
+		startInParallel(this::startEntry);
 		applyDeclarations(declarations());
-		Await.until("every entry is ready", START_MS, () -> this.vms.stream().allMatch(LocalFleet::ready));
+		Await.until("all entries are ready", START_TIMEOUT_MS, () -> this.vms.stream().allMatch(LocalFleet::isReady));
 		this.vms.forEach((vm) -> vm.inBalancer = true);
-		Await.until("every slot has settled", START_MS, this::slotsSettled);
+		Await.until("all slots are open", START_TIMEOUT_MS, this::allSlotsOpen);
 	}
 
-	private void together(ProcessStarter start) throws IOException {
+	private void startInParallel(ProcessStarter starter) throws IOException {
 		List<IOException> failures = new CopyOnWriteArrayList<>();
 		this.vms.parallelStream().forEach((vm) -> {
 			try {
-				start.start(vm);
+				starter.start(vm);
 			}
 			catch (IOException ex) {
 				failures.add(ex);
@@ -128,21 +129,21 @@
 		}
 	}
 
-	private boolean slotsSettled() {
-		int open = 0;
+	private boolean allSlotsOpen() {
+		int openSlots = 0;
 		for (VmProcesses vm : this.vms) {
 			int own = ProcessHttp.get(vm.steward.address("status"), "/status").path("open_slots").asInt();
 			if (own == 0) {
 				return false;
 			}
-			open += own;
+			openSlots += own;
 		}
-		return open == 64;
+		return openSlots == 64;
 	}
 
 	private String standinSettings() {
 		StringBuilder text = new StringBuilder("[platform " + PLATFORM + "]\n\n");
-		for (ServiceDefinition service : this.shape.services()) {
+		for (ServiceDefinition service : this.definition.services()) {
 			for (int i = 1; i <= service.workers(); i++) {
 				text.append("[upstream ").append(service.id()).append('-').append(i).append("]\n");
 				text.append("kind = ").append(service.kind()).append('\n');
@@ -156,12 +157,12 @@
 	}
 
 	/**
-	 * Return the declarations of the fleet.
-	 * @return the text, in INI
+	 * Return the declarations of the fleet, with those of its services.
+	 * @return the declarations in INI
 	 */
 	public String declarations() {
-		StringBuilder text = new StringBuilder(this.shape.declarations());
-		for (ServiceDefinition service : this.shape.services()) {
+		StringBuilder text = new StringBuilder(this.definition.declarations());
+		for (ServiceDefinition service : this.definition.services()) {
 			text.append("\n[service ").append(service.id()).append("]\n");
 			text.append("kind = ").append(service.kind()).append('\n');
 			text.append("cost-per-call = ").append(service.costPerCall()).append('\n');
@@ -169,7 +170,8 @@
 			List<String> upstreams = new ArrayList<>();
 			for (int i = 1; i <= service.workers(); i++) {
 				String id = service.id() + "-" + i;
-				upstreams.add(id + " " + upstreamAddress(id) + " " + this.shape.domain(i - 1) + " " + service.slots());
+				upstreams
+					.add(id + " " + upstreamAddress(id) + " " + this.definition.domain(i - 1) + " " + service.slots());
 			}
 			text.append("upstreams = ").append(String.join(", ", upstreams)).append('\n');
 		}
@@ -178,7 +180,7 @@
 
 	private Address upstreamAddress(String id) {
 		Address direct = this.standins.address(id);
-		return this.shape.upstreamProxies() ? proxy(id, direct).address() : direct;
+		return this.definition.upstreamProxies() ? proxy(id, direct).address() : direct;
 	}
 
 	private FaultProxy proxy(String name, Address target) {
@@ -187,33 +189,35 @@
 				return FaultProxy.start(target);
 			}
 			catch (IOException ex) {
-				throw new IllegalStateException("no proxy can be started", ex);
+				throw new IllegalStateException("cannot start a proxy for " + name + " to " + target, ex);
 			}
 		});
 	}
 
 	/**
-	 * Return the proxy before an upstream, or between a VM's steward and the platform.
-	 * @param name the upstream, or {@code platform-} and the VM
+	 * Return the proxy in front of an upstream, or between a VM's steward and the
+	 * platform.
+	 * @param name the upstream's id, or {@code platform-} and the VM's id
 	 * @return the proxy
+	 * @throws IllegalArgumentException if there is no such proxy
 	 */
 	public FaultProxy proxy(String name) {
 		FaultProxy proxy = this.proxies.get(name);
 		if (proxy == null) {
-			throw new IllegalArgumentException("no proxy " + name);
+			throw new IllegalArgumentException("no proxy '" + name + "', expected one of " + this.proxies.keySet());
 		}
 		return proxy;
 	}
 
-	private List<String> jvm(String heap) {
+	private List<String> jvmOptionsWith(String heapOption) {
 		List<String> options = new ArrayList<>(this.jvmOptions);
-		options.add(heap);
+		options.add(heapOption);
 		return options;
 	}
 
 	private void startSteward(VmProcesses vm) throws IOException {
 		Address platform = this.standins.address(PLATFORM);
-		if (this.shape.platformProxies()) {
+		if (this.definition.platformProxies()) {
 			platform = proxy("platform-" + vm.id, platform).address();
 		}
 		String seeds = this.vms.stream()
@@ -231,7 +235,8 @@
 		ini.put("platform", new LinkedHashMap<>(
 				Map.of("address", platform.toString(), "poll-interval", "500ms", "timeout", "1s", "watch-wait", "3s")));
 		vm.steward = ManagedProcess.start("org.tallycart.steward.StewardMain",
-				this.directory.settings("steward", vm.id, ini), this.directory.log("steward-" + vm.id), jvm("-Xmx40m"));
+				this.directory.writeSettings("steward", vm.id, ini), this.directory.log("steward-" + vm.id),
+				jvmOptionsWith("-Xmx40m"));
 		vm.peerPort = vm.steward.address("peer").port();
 		vm.stewardStatusPort = vm.steward.address("status").port();
 	}
@@ -247,14 +252,15 @@
 		ini.put("status", new LinkedHashMap<>(Map.of("listen", "127.0.0.1:" + vm.entryStatusPort)));
 		ini.put("steward", new LinkedHashMap<>(Map.of("address", vm.steward.address("peer").toString())));
 		ini.put("drain", new LinkedHashMap<>(Map.of("lead", "500ms", "timeout", "30s")));
-		vm.entry = ManagedProcess.start("org.tallycart.entry.EntryMain", this.directory.settings("entry", vm.id, ini),
-				this.directory.log("entry-" + vm.id), jvm("-Xmx256m"));
+		vm.entry = ManagedProcess.start("org.tallycart.entry.EntryMain",
+				this.directory.writeSettings("entry", vm.id, ini), this.directory.log("entry-" + vm.id),
+				jvmOptionsWith("-Xmx256m"));
 		vm.callersPort = vm.entry.address("callers").port();
 		vm.entryStatusPort = vm.entry.address("status").port();
 	}
 
 	/**
-	 * Tell the platform's stand-in which VMs there are.
+	 * Publish the listed VMs and all upstreams as the VM list of the platform stand-in.
 	 */
 	public void publishVms() {
 		List<Vm> list = new ArrayList<>();
@@ -263,10 +269,10 @@
 				list.add(new Vm(vm.id, Vm.ROLE_ENTRY, vm.domain, vm.steward.address("peer"), VmState.LIVE));
 			}
 		}
-		for (ServiceDefinition service : this.shape.services()) {
+		for (ServiceDefinition service : this.definition.services()) {
 			for (int i = 1; i <= service.workers(); i++) {
 				String id = service.id() + "-" + i;
-				list.add(new Vm(id, Vm.ROLE_UPSTREAM, this.shape.domain(i - 1), this.standins.address(id),
+				list.add(new Vm(id, Vm.ROLE_UPSTREAM, this.definition.domain(i - 1), this.standins.address(id),
 						this.upstreamStates.getOrDefault(id, VmState.LIVE)));
 			}
 		}
@@ -274,9 +280,9 @@
 	}
 
 	/**
-	 * Apply declarations, as an operator would.
-	 * @param text the declarations, in INI
-	 * @return the exit code
+	 * Apply declarations with {@code tallyctl apply}.
+	 * @param text the declarations in INI
+	 * @return the exit code of the command
 	 * @throws IOException if the file cannot be written
 	 */
 	public int applyDeclarations(String text) throws IOException {
@@ -287,24 +293,24 @@
 	}
 
 	/**
-	 * Return the platform's stand-in.
-	 * @return its address
+	 * Return the address of the platform stand-in.
+	 * @return the address
 	 */
 	public Address platformAddress() {
 		return this.standins.address(PLATFORM);
 	}
 
 	/**
-	 * Return where a balancer would send requests now.
-	 * @return addresses of the entries that are not known to be down or draining
+	 * Return the addresses of the entries that are in the balancer.
+	 * @return the callers' addresses
 	 */
 	public List<Address> entryAddresses() {
 		return this.vms.stream().filter((vm) -> vm.inBalancer).map((vm) -> vm.entry.address("callers")).toList();
 	}
 
 	/**
-	 * Return the status ports of all stewards and entries.
-	 * @return the addresses, as {@code tallyctl --fleet} takes them
+	 * Return the status addresses of all stewards and entries.
+	 * @return the addresses, comma-separated, as {@code tallyctl --fleet} takes them
 	 */
 	public String statusAddresses() {
 		return this.vms.stream()
@@ -314,15 +320,15 @@
 
 	/**
 	 * Return the processes of a VM.
-	 * @param number the VM, from 0
-	 * @return its processes
+	 * @param number index of the VM, from 0
+	 * @return the processes
 	 */
 	public VmProcesses vm(int number) {
 		return this.vms.get(number);
 	}
 
 	/**
-	 * Return how many VMs there are.
+	 * Return the number of VMs.
 	 * @return the number
 	 */
 	public int size() {
@@ -330,54 +336,54 @@
 	}
 
 	/**
-	 * Start a VM's entry again, on the same ports, and put it into the balancer when it
-	 * is ready.
-	 * @param number the VM, from 0
-	 * @throws IOException if it cannot be started
+	 * Start a VM's entry again on the same ports, and add it to the balancer when it is
+	 * ready. Its process must have exited.
+	 * @param number index of the VM, from 0
+	 * @throws IOException if the entry cannot be started
 	 */
 	public void restartEntry(int number) throws IOException {
 		VmProcesses vm = this.vms.get(number);
 		startEntry(vm);
-		Await.until(vm.id + " is ready", START_MS, () -> ready(vm));
+		Await.until("entry of " + vm.id + " is ready", START_TIMEOUT_MS, () -> isReady(vm));
 		vm.inBalancer = true;
 	}
 
-	private static boolean ready(VmProcesses vm) {
+	private static boolean isReady(VmProcesses vm) {
 		return ProcessHttp.get(vm.entry.address("status"), "/readyz").path("ready").asBoolean();
 	}
 
 	/**
-	 * Start a VM's steward again, on the same ports.
-	 * @param number the VM, from 0
-	 * @throws IOException if it cannot be started
+	 * Start a VM's steward again on the same ports. Its process must have exited.
+	 * @param number index of the VM, from 0
+	 * @throws IOException if the steward cannot be started
 	 */
 	public void restartSteward(int number) throws IOException {
 		startSteward(this.vms.get(number));
 	}
 
 	/**
-	 * Set a fault of the platform's stand-in.
-	 * @param json the fault
+	 * Set faults of the platform stand-in.
+	 * @param json the faults, as {@code /admin/fault} takes them
 	 */
 	public void setPlatformFault(String json) {
 		ProcessHttp.post(platformAddress(), "/admin/fault", json);
 	}
 
 	/**
-	 * Set a fault of upstreams.
-	 * @param which which of them, by id
-	 * @param json the fault
+	 * Set faults of upstreams.
+	 * @param filter selects the upstreams by id
+	 * @param json the faults, as {@code /admin/fault} takes them
 	 */
-	public void setUpstreamFault(Predicate<String> which, String json) {
+	public void setUpstreamFault(Predicate<String> filter, String json) {
 		upstreamIds().stream()
-			.filter(which)
+			.filter(filter)
 			.forEach((id) -> ProcessHttp.post(this.standins.address(id), "/admin/fault", json));
 	}
 
 	/**
-	 * Mark an upstream's VM as leaving, or live, in the platform's list.
-	 * @param id the upstream
-	 * @param state its state
+	 * Set the state of an upstream in the platform's VM list and publish the list.
+	 * @param id the upstream's id
+	 * @param state the state
 	 */
 	public void setUpstreamState(String id, VmState state) {
 		this.upstreamStates.put(id, state);
@@ -385,12 +391,12 @@
 	}
 
 	/**
-	 * Return all upstreams.
-	 * @return their ids
+	 * Return the ids of all upstreams.
+	 * @return the ids
 	 */
 	public List<String> upstreamIds() {
 		List<String> ids = new ArrayList<>();
-		for (ServiceDefinition service : this.shape.services()) {
+		for (ServiceDefinition service : this.definition.services()) {
 			for (int i = 1; i <= service.workers(); i++) {
 				ids.add(service.id() + "-" + i);
 			}
@@ -399,17 +405,17 @@
 	}
 
 	/**
-	 * Return what an upstream has run.
-	 * @param id the upstream
-	 * @return its counts
+	 * Return the run counts of an upstream.
+	 * @param id the upstream's id
+	 * @return the counts as JSON; an empty object if the call fails
 	 */
 	public JsonNode runCounts(String id) {
 		return ProcessHttp.get(this.standins.address(id), "/admin/runs");
 	}
 
 	/**
-	 * Count the runs of each caller's request over all plain services.
-	 * @return runs by the request's marker
+	 * Return the number of runs of each request, summed over all plain services.
+	 * @return run counts by the request's marker
 	 */
 	public Map<String, Integer> runsByMarker() {
 		Map<String, Integer> runs = new HashMap<>();
@@ -422,7 +428,7 @@
 	}
 
 	/**
-	 * Return where logs and settings of this fleet are.
+	 * Return the directory with the logs and settings of the fleet.
 	 * @return the directory
 	 */
 	public Path directory() {
--- a/testbed/src/main/java/org/tallycart/testbed/ManagedProcess.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ManagedProcess.java
@@ -16,7 +16,8 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * A process of a local fleet, which can be stopped, killed, frozen and woken.
+ * Process of a local fleet, which can be stopped, killed, suspended and resumed. It is
+ * killed when this JVM shuts down.
  * <p>
  * Not thread-safe.
  *
@@ -24,9 +25,9 @@
  */
 public final class ManagedProcess {
 
-	private static final String STARTED = "STARTED ";
+	private static final String STARTED_PREFIX = "STARTED ";
 
-	private static final long STOP_SECONDS = 60;
+	private static final long TIMEOUT_SECONDS = 60;
 
 	private static final long LOG_POLL_MS = 20;
 
@@ -40,50 +41,50 @@
 	}
 
 	/**
-	 * Start a process and wait until it listens.
-	 * @param mainClass its main class
-	 * @param config its settings
-	 * @param log where its log goes
-	 * @param jvmOptions options of its JVM
+	 * Start a process and wait until it prints a line with {@code STARTED} and its ports.
+	 * @param mainClass the main class
+	 * @param config the settings file
+	 * @param log file to which standard error is appended
+	 * @param jvmOptions options of the JVM
 	 * @return the process
-	 * @throws IOException if it does not start
+	 * @throws IOException if the process ends before it prints the line
 	 */
 	public static ManagedProcess start(String mainClass, Path config, Path log, List<String> jvmOptions)
 			throws IOException {
 		List<String> options = new ArrayList<>(List.of("-XX:+UseSerialGC", "-Xss512k"));
 		options.addAll(jvmOptions);
-		Process process = launch(jvm(mainClass, List.of("--config", config.toString()), options)
+		Process process = launch(jvmCommand(mainClass, List.of("--config", config.toString()), options)
 			.redirectError(ProcessBuilder.Redirect.appendTo(log.toFile())));
 		BufferedReader out = new BufferedReader(
 				new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
 		String line = out.readLine();
-		while (line != null && !line.startsWith(STARTED)) {
+		while (line != null && !line.startsWith(STARTED_PREFIX)) {
 			line = out.readLine();
 		}
 		if (line == null) {
 			throw new IOException(mainClass + " did not start; see " + log);
 		}
-		return new ManagedProcess(process, ports(line));
+		return new ManagedProcess(process, parsePorts(line));
 	}
 
 	/**
-	 * Start a process that tells in its log where it listens, and wait for that line.
-	 * @param mainClass its main class
-	 * @param arguments its arguments
-	 * @param log where its output goes
-	 * @param jvmOptions options of its JVM
-	 * @param line finds the ports' names and numbers in a line of the log
+	 * Start a process and wait until its log states the ports on which it listens.
+	 * @param mainClass the main class
+	 * @param arguments the program's arguments
+	 * @param log file for standard output and standard error
+	 * @param jvmOptions options of the JVM
+	 * @param portParser returns the ports by name that a log line states, or an empty map
 	 * @return the process
-	 * @throws IOException if it does not start
+	 * @throws IOException if the process ends or times out before it states its ports
 	 */
 	public static ManagedProcess start(String mainClass, List<String> arguments, Path log, List<String> jvmOptions,
-			Function<String, Map<String, Integer>> line) throws IOException {
+			Function<String, Map<String, Integer>> portParser) throws IOException {
 		Process process = launch(
-				jvm(mainClass, arguments, jvmOptions).redirectErrorStream(true).redirectOutput(log.toFile()));
-		long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(STOP_SECONDS);
-		while (process.isAlive() && System.nanoTime() < end) {
-			for (String written : Files.readAllLines(log)) {
-				Map<String, Integer> ports = line.apply(written);
+				jvmCommand(mainClass, arguments, jvmOptions).redirectErrorStream(true).redirectOutput(log.toFile()));
+		long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+		while (process.isAlive() && System.nanoTime() < deadlineNs) {
+			for (String line : Files.readAllLines(log)) {
+				Map<String, Integer> ports = portParser.apply(line);
 				if (!ports.isEmpty()) {
 					return new ManagedProcess(process, ports);
 				}
@@ -94,7 +95,7 @@
 		throw new IOException(mainClass + " did not start; see " + log);
 	}
 
-	private static ProcessBuilder jvm(String mainClass, List<String> arguments, List<String> jvmOptions) {
+	private static ProcessBuilder jvmCommand(String mainClass, List<String> arguments, List<String> jvmOptions) {
 		List<String> command = new ArrayList<>();
 		command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
 		command.addAll(jvmOptions);
@@ -105,7 +106,7 @@
 
 	private static Process launch(ProcessBuilder builder) throws IOException {
 		Process process = builder.start();
-		// A testbed that is interrupted leaves no process behind.
+		// Prevents orphan processes when this JVM is interrupted.
 		Runtime.getRuntime().addShutdownHook(new Thread(process::destroyForcibly, "end-child"));
 		return process;
 	}
@@ -119,9 +120,9 @@
 		}
 	}
 
-	private static Map<String, Integer> ports(String line) {
+	private static Map<String, Integer> parsePorts(String line) {
 		Map<String, Integer> ports = new HashMap<>();
-		for (String word : line.substring(STARTED.length()).split(" ")) {
+		for (String word : line.substring(STARTED_PREFIX.length()).split(" ")) {
 			String[] parts = word.split("=");
 			ports.put(parts[0], Integer.valueOf(parts[1]));
 		}
@@ -129,20 +130,21 @@
 	}
 
 	/**
-	 * Return where the process listens.
+	 * Return the loopback address of a port of the process.
 	 * @param name name of the port
 	 * @return the address
+	 * @throws IllegalArgumentException if the process has no port of that name
 	 */
 	public Address address(String name) {
 		Integer port = this.ports.get(name);
 		if (port == null) {
-			throw new IllegalArgumentException("no port " + name + " among " + this.ports.keySet());
+			throw new IllegalArgumentException("unknown port '" + name + "', expected one of " + this.ports.keySet());
 		}
 		return new Address("127.0.0.1", port);
 	}
 
 	/**
-	 * Kill the process at once.
+	 * Kill the process and wait until it has exited.
 	 */
 	public void kill() {
 		this.process.destroyForcibly();
@@ -150,8 +152,8 @@
 	}
 
 	/**
-	 * Ask the process to stop, and wait until it has.
-	 * @return whether it ended by itself in time
+	 * Request an orderly stop and wait until the process has exited.
+	 * @return true if it exited before the timeout
 	 */
 	public boolean stop() {
 		this.process.destroy();
@@ -159,19 +161,19 @@
 	}
 
 	/**
-	 * Ask the process to stop, without waiting.
+	 * Request an orderly stop, without waiting.
 	 */
 	public void requestStop() {
 		this.process.destroy();
 	}
 
 	/**
-	 * Wait until the process has ended.
-	 * @return whether it ended in time
+	 * Wait until the process has exited.
+	 * @return true if it exited before the timeout; false also if interrupted
 	 */
 	public boolean awaitExit() {
 		try {
-			return this.process.waitFor(STOP_SECONDS, TimeUnit.SECONDS);
+			return this.process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
@@ -180,14 +182,14 @@
 	}
 
 	/**
-	 * Freeze the process.
+	 * Suspend the process with SIGSTOP.
 	 */
 	public void suspend() {
 		signal("-STOP");
 	}
 
 	/**
-	 * Wake the process after a freeze.
+	 * Resume the process with SIGCONT.
 	 */
 	public void resume() {
 		signal("-CONT");
@@ -198,7 +200,7 @@
 			new ProcessBuilder("kill", name, Long.toString(this.process.pid())).start().waitFor();
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("no signal can be sent", ex);
+			throw new IllegalStateException("cannot send signal " + name + " to process " + this.process.pid(), ex);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
@@ -206,15 +208,15 @@
 	}
 
 	/**
-	 * Return whether the process runs.
-	 * @return true if it does
+	 * Return whether the process is running.
+	 * @return true if it has not exited
 	 */
 	public boolean isAlive() {
 		return this.process.isAlive();
 	}
 
 	/**
-	 * Return the process's id.
+	 * Return the operating system's process id.
 	 * @return the id
 	 */
 	public long pid() {
--- a/testbed/src/main/java/org/tallycart/testbed/ProcessBenchmark.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ProcessBenchmark.java
@@ -12,10 +12,10 @@
 import org.tallycart.load.Scenario;
 
 /**
- * Measures real processes: stewards at rest at several fleet sizes, and an entry under
- * load.
+ * Benchmark of real processes: an idle steward in fleets of several sizes, and an entry
+ * under load.
  * <p>
- * Thread-safe: holds no state.
+ * Thread-safe: stateless.
  *
  * @since 0.1
  */
@@ -27,30 +27,30 @@
 
 	private static final long NANOS_PER_MS = 1_000_000;
 
-	private static final double MEGA = 1 << 20;
+	private static final double BYTES_PER_MIB = 1 << 20;
 
 	private ProcessBenchmark() {
 	}
 
-	static void stewards(PrintStream out, long settleMs) throws IOException {
+	static void measureStewards(PrintStream out, long settleMs) throws IOException {
 		out.println(
 				"stewards at rest: VMs, cpu %, resident MB, heap MB, peer messages in/s, bytes in/s, platform reads/s by all");
 		for (int vms : new int[] { 2, 4, 8 }) {
-			steward(out, vms, settleMs);
+			measureSteward(out, vms, settleMs);
 		}
 	}
 
-	static void entries(PrintStream out) throws IOException {
+	static void measureEntries(PrintStream out) throws IOException {
 		out.println("one entry under load: requests/s, tokens/s, cpu % of a core, resident MB");
 		for (double rate : new double[] { 0.1, 40, 80 }) {
-			entry(out, "dispatch", rate, 1, false);
+			measureEntry(out, "dispatch", rate, 1, false);
 		}
 		for (int tokens : new int[] { 8, 64, 192 }) {
-			entry(out, "assistant", 20, tokens, true);
+			measureEntry(out, "assistant", 20, tokens, true);
 		}
 	}
 
-	private static JsonNode metrics(ManagedProcess process) {
+	private static JsonNode readMetrics(ManagedProcess process) {
 		return ProcessHttp.get(process.address("status"), "/metrics");
 	}
 
@@ -59,48 +59,48 @@
 		return (after.path(name).asDouble() - before.path(name).asDouble()) * 1_000 / millis;
 	}
 
-	private static long reads(Address platform) {
+	private static long platformReads(Address platform) {
 		JsonNode counts = ProcessHttp.get(platform, "/admin/counts");
 		return counts.path("read").asLong() + counts.path("vm-list").asLong();
 	}
 
-	private static void steward(PrintStream out, int vms, long settleMs) throws IOException {
-		Map<String, String> asShipped = Map.of("steward.peer.heartbeat-interval", "1s",
+	private static void measureSteward(PrintStream out, int vms, long settleMs) throws IOException {
+		Map<String, String> defaultSettings = Map.of("steward.peer.heartbeat-interval", "1s",
 				"steward.platform.poll-interval", "1s", "steward.platform.watch-wait", "5s");
-		try (LocalFleet fleet = LocalFleet.start(FleetDefinition.bogota(vms), asShipped, List.of())) {
+		try (LocalFleet fleet = LocalFleet.start(FleetDefinition.bogota(vms), defaultSettings, List.of())) {
 			Await.sleep(settleMs);
-			JsonNode before = metrics(fleet.vm(0).steward());
-			long readsBefore = reads(fleet.platformAddress());
+			JsonNode before = readMetrics(fleet.vm(0).steward());
+			long readsBefore = platformReads(fleet.platformAddress());
 			Await.sleep(WINDOW_MS);
-			JsonNode after = metrics(fleet.vm(0).steward());
-			double reads = (reads(fleet.platformAddress()) - readsBefore) * 1_000.0 / WINDOW_MS;
+			JsonNode after = readMetrics(fleet.vm(0).steward());
+			double reads = (platformReads(fleet.platformAddress()) - readsBefore) * 1_000.0 / WINDOW_MS;
 			out.printf("%4d %8.2f %8.1f %8.1f %8.2f %8.0f %8.2f%n", vms,
 					perSecond(before, after, "process.cpu_ns") / NANOS_PER_SECOND * 100,
-					after.path("process.resident_bytes").asDouble() / MEGA,
-					after.path("process.heap_used_bytes").asDouble() / MEGA,
+					after.path("process.resident_bytes").asDouble() / BYTES_PER_MIB,
+					after.path("process.heap_used_bytes").asDouble() / BYTES_PER_MIB,
 					perSecond(before, after, "wire.messages_in"), perSecond(before, after, "wire.bytes_in"), reads);
 		}
 	}
 
-	private static void entry(PrintStream out, String pipeline, double rate, int tokens, boolean repeatable)
+	private static void measureEntry(PrintStream out, String pipeline, double rate, int tokens, boolean repeatable)
 			throws IOException {
 		Scenario.RequestKind kind = new Scenario.RequestKind("k", 1, pipeline, List.of("suba-express"), "", 10_000,
 				tokens, tokens, repeatable, repeatable, 0);
 		try (LocalFleet fleet = LocalFleet.start(FleetDefinition.bogota(1), Map.of(), List.of())) {
 			LoadGenerator.run(new Scenario(Math.max(rate, 40), 6_000, 1, 0, 0, 1, 0, List.of(kind)),
 					fleet::entryAddresses);
-			JsonNode before = metrics(fleet.vm(0).entry());
-			long beganNs = System.nanoTime();
+			JsonNode before = readMetrics(fleet.vm(0).entry());
+			long startNs = System.nanoTime();
 			LoadTestReport report = LoadGenerator.run(new Scenario(rate, WINDOW_MS, 2, 0, 0, 1, 0, List.of(kind)),
 					fleet::entryAddresses);
-			// The run ends with its last request; the window does not.
-			Await.sleep(WINDOW_MS - (System.nanoTime() - beganNs) / NANOS_PER_MS);
-			JsonNode after = metrics(fleet.vm(0).entry());
+			// The run can end before the window does; the rates are per window.
+			Await.sleep(WINDOW_MS - (System.nanoTime() - startNs) / NANOS_PER_MS);
+			JsonNode after = readMetrics(fleet.vm(0).entry());
 			double perSecond = report.requestCount() * 1_000.0 / WINDOW_MS;
 			out.printf("%-10s %7.1f %8.0f %8.2f %8.1f   attainment %.4f p50 %d ms%n", pipeline, perSecond,
 					repeatable ? perSecond * tokens : 0,
 					perSecond(before, after, "process.cpu_ns") / NANOS_PER_SECOND * 100,
-					after.path("process.resident_bytes").asDouble() / MEGA, report.attainment(),
+					after.path("process.resident_bytes").asDouble() / BYTES_PER_MIB, report.attainment(),
 					report.latencyPercentileMs(50));
 		}
 	}
--- a/testbed/src/main/java/org/tallycart/testbed/ProcessHttp.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ProcessHttp.java
@@ -12,9 +12,10 @@
 import org.tallycart.http.HttpReply;
 
 /**
- * Talks to the processes of a fleet: their status ports, and the controls of stand-ins.
+ * HTTP client for the status ports of a fleet's processes and the admin paths of the
+ * stand-ins.
  * <p>
- * Thread-safe: holds no state.
+ * Thread-safe: stateless.
  *
  * @since 0.1
  */
@@ -28,20 +29,20 @@
 	}
 
 	/**
-	 * Read JSON from a process.
-	 * @param address where
+	 * Send a GET request to a process and parse the reply as JSON.
+	 * @param address address of the process
 	 * @param path the path
-	 * @return the JSON; an empty object if the process does not answer
+	 * @return the JSON; an empty object if the call fails or the reply is not JSON
 	 */
 	public static JsonNode get(Address address, String path) {
 		return HttpConnection.connect(address, TIMEOUT_MS).flatMap((connection) -> {
 			try (connection) {
 				return connection.call(HttpCall.get(path).build(), TIMEOUT_MS);
 			}
-		}).map(ProcessHttp::json).getOrElse(JSON.createObjectNode());
+		}).map(ProcessHttp::parseJson).getOrElse(JSON.createObjectNode());
 	}
 
-	private static JsonNode json(HttpReply reply) {
+	private static JsonNode parseJson(HttpReply reply) {
 		try {
 			return JSON.readTree(reply.body());
 		}
@@ -51,10 +52,11 @@
 	}
 
 	/**
-	 * Post a body to a process.
-	 * @param address where
+	 * Send a POST request to a process.
+	 * @param address address of the process
 	 * @param path the path
 	 * @param body the body
+	 * @throws IllegalStateException if the call fails or its status is not a success
 	 */
 	static void post(Address address, String path, String body) {
 		HttpConnection.connect(address, TIMEOUT_MS).flatMap((connection) -> {
@@ -63,8 +65,9 @@
 			}
 		})
 			.filterOrElse(HttpReply::isSuccess,
-					(reply) -> new HttpFailure(HttpFailure.Kind.BROKEN, true, "status " + reply.status()))
-			.getOrElseThrow((failure) -> new IllegalStateException(path + ": " + failure.message()));
+					(reply) -> new HttpFailure(HttpFailure.Kind.BROKEN, true, "unexpected status " + reply.status()))
+			.getOrElseThrow((failure) -> new IllegalStateException(
+					"POST " + path + " to " + address + " failed: " + failure.message()));
 	}
 
 }
--- a/testbed/src/main/java/org/tallycart/testbed/ServiceDefinition.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ServiceDefinition.java
@@ -1,16 +1,16 @@
 package org.tallycart.testbed;
 
 /**
- * A service of a fleet: its workers and what they cost.
+ * Definition of a service of a local fleet: its workers, their latency and cost.
  *
- * @param id the service
+ * @param id the service's id
  * @param kind encode, retrieve, rerank, generate or plain
- * @param workers how many workers it has
- * @param slots calls a worker runs at a time
- * @param baseMs time of a call, or to the first token
- * @param tokenMs time of a token
- * @param costPerCall cost of a call
- * @param costPerToken cost of a token
+ * @param workers number of workers
+ * @param slots maximum number of concurrent calls of a worker
+ * @param baseMs mean duration of a call, or mean time to the first token, in milliseconds
+ * @param tokenMs mean time per token in milliseconds
+ * @param costPerCall cost per call, in the unit of the declarations
+ * @param costPerToken cost per token, in the same unit
  * @since 0.1
  */
 public record ServiceDefinition(String id, String kind, int workers, int slots, double baseMs, double tokenMs,
--- a/testbed/src/main/java/org/tallycart/testbed/TestbedMain.java
+++ b/testbed/src/main/java/org/tallycart/testbed/TestbedMain.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * The program {@code tallycart-testbed}.
+ * Main class of {@code tallycart-testbed}; the work is done by its subcommands.
  * <p>
  * Not thread-safe: used by the main thread.
  *
@@ -18,8 +18,8 @@
 public final class TestbedMain implements Runnable {
 
 	/**
-	 * Run the program.
-	 * @param args the command line
+	 * Start the program.
+	 * @param args the command-line arguments
 	 */
 	public static void main(String[] args) {
 		Logging.configure(Logging.LogFormat.TEXT, Logging.LogLevel.WARN);
--- a/testbed/src/main/java/org/tallycart/testbed/VmProcesses.java
+++ b/testbed/src/main/java/org/tallycart/testbed/VmProcesses.java
@@ -1,9 +1,9 @@
 package org.tallycart.testbed;
 
 /**
- * The processes of one VM.
+ * Processes of one VM of a local fleet.
  * <p>
- * Not thread-safe, but for whether it is in the balancer.
+ * Not thread-safe, except for the balancer flag.
  *
  * @since 0.1
  */
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * Return the VM's steward.
+	 * Return the VM's steward process.
 	 * @return the process
 	 */
 	public ManagedProcess steward() {
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * Return the VM's entry.
+	 * Return the VM's entry process.
 	 * @return the process
 	 */
 	public ManagedProcess entry() {
@@ -60,16 +60,17 @@
 	}
 
 	/**
-	 * Put the VM into the balancer, or take it out.
-	 * @param in whether it gets requests
+	 * Set whether the VM is in the balancer.
+	 * @param in true if the VM receives requests
 	 */
 	public void setInBalancer(boolean in) {
 		this.inBalancer = in;
 	}
 
 	/**
-	 * Put the VM into the platform's list at its next publishing, or leave it out.
-	 * @param in whether it is listed
+	 * Set whether the VM is in the platform's VM list. Takes effect when the list is next
+	 * published.
+	 * @param in true if the VM is listed
 	 */
 	public void setListed(boolean in) {
 		this.listed = in;
--- a/testbed/src/main/java/org/tallycart/testbed/package-info.java
+++ b/testbed/src/main/java/org/tallycart/testbed/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Whole fleets of real processes on one machine, and experiments on them. For development
- * only.
+ * Local fleets of real processes on one machine, and benchmarks and experiments on them.
+ * For development only.
  */
 @NullMarked
 package org.tallycart.testbed;
