--- a/runtime/src/main/java/org/tallycart/runtime/event/EventCode.java
+++ b/runtime/src/main/java/org/tallycart/runtime/event/EventCode.java
@@ -144,7 +144,7 @@
 	CONNECTION_REFUSED(6023, Level.INFO, "A caller's message was refused by its framing, size or time."),
 	/** A retry was denied by the retry budget. */
 	REPEAT_DENIED(6024, Level.INFO, "A request was not sent again, since the budget of repeats is spent."),
-	/** Log lines were dropped by the rate limit. */
+	/** Log lines were dropped to bound the log volume. */
 	LINES_LEFT_OUT(6025, Level.WARN, "Log lines were left out to bound their volume; the detail holds how many."),
 	/** The source of the replicated state changed. */
 	STORE_FOLLOWED(6026, Level.INFO,
--- a/runtime/src/main/java/org/tallycart/runtime/status/StatusServer.java
+++ b/runtime/src/main/java/org/tallycart/runtime/status/StatusServer.java
@@ -51,7 +51,7 @@
 
 	private final Supplier<ObjectNode> status;
 
-	private BlockingHttpServer listener;
+	private BlockingHttpServer httpServer;
 
 	@SuppressWarnings("NullAway.Init")
 	private StatusServer(EventLog events, MetricRegistry metrics, BooleanSupplier ready, Supplier<ObjectNode> status) {
@@ -74,8 +74,8 @@
 			BooleanSupplier ready, Supplier<ObjectNode> status) {
 		ProcessMetrics.register(metrics);
 		StatusServer server = new StatusServer(events, metrics, ready, status);
-		return BlockingHttpServer.start(address, "status", MAX_CONNECTIONS, server::handle).map((listener) -> {
-			server.listener = listener;
+		return BlockingHttpServer.start(address, "status", MAX_CONNECTIONS, server::handle).map((httpServer) -> {
+			server.httpServer = httpServer;
 			return server;
 		});
 	}
@@ -131,12 +131,12 @@
 	 * @return the port
 	 */
 	public int port() {
-		return this.listener.port();
+		return this.httpServer.port();
 	}
 
 	@Override
 	public void close() {
-		this.listener.close();
+		this.httpServer.close();
 	}
 
 }
--- a/wire/src/main/java/org/tallycart/wire/WireCaller.java
+++ b/wire/src/main/java/org/tallycart/wire/WireCaller.java
@@ -6,30 +6,31 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * Calls one other process.
+ * Sends calls and one-way messages to another process.
  * <p>
- * Implementations are thread-safe.
+ * Implementations must be thread-safe.
  *
  * @since 0.1
  */
 public interface WireCaller {
 
 	/**
-	 * Make a call.
-	 * @param message the call's body
-	 * @param timeoutMs how long to wait, for the connection and the reply together
-	 * @return the reply to come, or an error; never completed by an exception
+	 * Send a call and await its reply.
+	 * @param message the body of the call
+	 * @param timeoutMs the timeout for connecting and receiving the reply, in
+	 * milliseconds
+	 * @return a future of the reply or an error; never completes exceptionally
 	 */
 	CompletableFuture<Either<WireError, Envelope>> call(Envelope.Builder message, long timeoutMs);
 
 	/**
-	 * Send a message to which no reply is wanted, if a connection can be had.
-	 * @param message the message's body
+	 * Send a one-way message. The message is dropped if no connection can be opened.
+	 * @param message the body of the message
 	 */
 	void send(Envelope.Builder message);
 
 	/**
-	 * End the connection for good.
+	 * Close the connection permanently.
 	 */
 	void close();
 
--- a/wire/src/main/java/org/tallycart/wire/WireClient.java
+++ b/wire/src/main/java/org/tallycart/wire/WireClient.java
@@ -23,12 +23,12 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * A connection to one other process, made when first needed and again after a failure.
+ * Client of one other process. Connects on first use, and again after a failure.
  * <p>
  * Invariants: messages sent by one thread on one connection arrive in order; every call
- * ends, with a reply or an error, within its time. After several calls in a row went
- * unanswered the connection is cut, since the path may be dead in one direction.
- * Thread-safe.
+ * completes, with a reply or an error, within its timeout. After several consecutive
+ * timeouts the connection is closed, since the path may have failed in one direction
+ * only. Thread-safe.
  *
  * @since 0.1
  */
@@ -36,7 +36,7 @@
 
 	private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-	private static final int TIMEOUTS_TO_CUT = 3;
+	private static final int MAX_CONSECUTIVE_TIMEOUTS = 3;
 
 	private final EventLoopGroup group;
 
@@ -48,9 +48,9 @@
 
 	private final Map<Long, CompletableFuture<Either<WireError, Envelope>>> pending = new ConcurrentHashMap<>();
 
-	private final AtomicLong correlations = new AtomicLong();
+	private final AtomicLong lastCorrelation = new AtomicLong();
 
-	private final AtomicInteger timeoutsInRow = new AtomicInteger();
+	private final AtomicInteger consecutiveTimeouts = new AtomicInteger();
 
 	private @Nullable ChannelFuture connection;
 
@@ -65,11 +65,11 @@
 
 	@Override
 	public CompletableFuture<Either<WireError, Envelope>> call(Envelope.Builder message, long timeoutMs) {
-		long correlation = this.correlations.incrementAndGet();
+		long correlation = this.lastCorrelation.incrementAndGet();
 		CompletableFuture<Either<WireError, Envelope>> result = new CompletableFuture<>();
 		ChannelFuture channel = connect();
 		this.pending.put(correlation, result);
-		ScheduledFuture<?> timer = this.group.schedule(() -> timeOut(correlation), timeoutMs, TimeUnit.MILLISECONDS);
+		ScheduledFuture<?> timer = this.group.schedule(() -> onTimeout(correlation), timeoutMs, TimeUnit.MILLISECONDS);
 		result.thenRun(() -> timer.cancel(false));
 		channel.addListener((done) -> {
 			if (!done.isSuccess()) {
@@ -102,17 +102,17 @@
 	}
 
 	/**
-	 * Connect, if no connection is open or being made.
+	 * Connect unless a connection is open or being opened.
 	 */
 	public void ensureConnected() {
 		connect();
 	}
 
 	private synchronized ChannelFuture connect() {
-		ChannelFuture present = this.connection;
-		boolean dead = present != null && present.isDone() && !(present.isSuccess() && present.channel().isActive());
-		if (present != null && !dead) {
-			return present;
+		ChannelFuture current = this.connection;
+		boolean failed = current != null && current.isDone() && !(current.isSuccess() && current.channel().isActive());
+		if (current != null && !failed) {
+			return current;
 		}
 		ChannelFuture fresh = new Bootstrap().group(this.group)
 			.channel(NioSocketChannel.class)
@@ -123,26 +123,26 @@
 		if (this.closed) {
 			fresh.channel().close();
 		}
-		this.timeoutsInRow.set(0);
+		this.consecutiveTimeouts.set(0);
 		this.connection = fresh;
 		return fresh;
 	}
 
-	private void timeOut(long correlation) {
+	private void onTimeout(long correlation) {
 		if (complete(correlation, Either.left(WireError.TIMED_OUT))
-				&& this.timeoutsInRow.incrementAndGet() >= TIMEOUTS_TO_CUT) {
+				&& this.consecutiveTimeouts.incrementAndGet() >= MAX_CONSECUTIVE_TIMEOUTS) {
 			disconnect();
 		}
 	}
 
 	private boolean complete(long correlation, Either<WireError, Envelope> outcome) {
-		CompletableFuture<Either<WireError, Envelope>> waiting = this.pending.remove(correlation);
-		return waiting != null && waiting.complete(outcome);
+		CompletableFuture<Either<WireError, Envelope>> call = this.pending.remove(correlation);
+		return call != null && call.complete(outcome);
 	}
 
 	/**
-	 * Close the connection, so that the next message makes a new one: the path may be
-	 * dead without either end having noticed.
+	 * Close the connection, so that the next message opens a new one. Used where the path
+	 * may have failed without being noticed at either end.
 	 */
 	public synchronized void disconnect() {
 		if (this.connection != null) {
@@ -152,15 +152,15 @@
 	}
 
 	/**
-	 * Return whether the connection is open now.
-	 * @return true if it is
+	 * Return whether the connection is open.
+	 * @return {@code true} if the connection is open
 	 */
 	public synchronized boolean isConnected() {
 		return this.connection != null && this.connection.isSuccess() && this.connection.channel().isActive();
 	}
 
 	/**
-	 * Return where this client leads.
+	 * Return the address that this client connects to.
 	 * @return the address
 	 */
 	public Address address() {
@@ -183,7 +183,7 @@
 		@Override
 		protected void channelRead0(ChannelHandlerContext context, Envelope message) {
 			WireClient.this.identity.receive(message);
-			WireClient.this.timeoutsInRow.set(0);
+			WireClient.this.consecutiveTimeouts.set(0);
 			if (message.getReply()) {
 				complete(message.getCorrelation(), Either.right(message));
 			}
--- a/wire/src/main/java/org/tallycart/wire/WireCodec.java
+++ b/wire/src/main/java/org/tallycart/wire/WireCodec.java
@@ -12,7 +12,8 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * Frames of protobuf: a length of four bytes, then an {@link Envelope}.
+ * Initializes the pipeline of a channel. A frame is a length of four bytes, followed by
+ * an {@link Envelope} in protobuf encoding.
  * <p>
  * Thread-safe.
  *
@@ -24,10 +25,10 @@
 
 	private static final int MAX_FRAME_BYTES = 8 << 20;
 
-	private final Supplier<ChannelHandler> last;
+	private final Supplier<ChannelHandler> handlerFactory;
 
-	WireCodec(Supplier<ChannelHandler> last) {
-		this.last = last;
+	WireCodec(Supplier<ChannelHandler> handlerFactory) {
+		this.handlerFactory = handlerFactory;
 	}
 
 	@Override
@@ -37,7 +38,7 @@
 			.addLast(new ProtobufDecoder(Envelope.getDefaultInstance()))
 			.addLast(new LengthFieldPrepender(LENGTH_BYTES))
 			.addLast(new ProtobufEncoder())
-			.addLast(this.last.get());
+			.addLast(this.handlerFactory.get());
 	}
 
 }
--- a/wire/src/main/java/org/tallycart/wire/WireError.java
+++ b/wire/src/main/java/org/tallycart/wire/WireError.java
@@ -1,17 +1,17 @@
 package org.tallycart.wire;
 
 /**
- * Why a call between processes has no reply.
+ * Reason why a call between processes has no reply.
  *
  * @since 0.1
  */
 public enum WireError {
 
-	/** No connection; the call was not sent. */
+	/** No connection could be opened; the call was not sent. */
 	NOT_CONNECTED,
-	/** No reply came in time; the call may have been handled. */
+	/** The call timed out; it may have been handled. */
 	TIMED_OUT,
-	/** The connection closed before a reply came; the call may have been handled. */
+	/** The connection closed before the reply; the call may have been handled. */
 	CLOSED
 
 }
--- a/wire/src/main/java/org/tallycart/wire/WireHandler.java
+++ b/wire/src/main/java/org/tallycart/wire/WireHandler.java
@@ -3,7 +3,7 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * Handles messages that arrive at a server. Called on a transport thread: must not block.
+ * Handles messages received by a server. Called on a transport thread and must not block.
  *
  * @since 0.1
  */
@@ -12,7 +12,7 @@
 
 	/**
 	 * Handle a message.
-	 * @param peer who sent it
+	 * @param peer the sender
 	 * @param message the message
 	 */
 	void onMessage(WirePeer peer, Envelope message);
--- a/wire/src/main/java/org/tallycart/wire/WireIdentity.java
+++ b/wire/src/main/java/org/tallycart/wire/WireIdentity.java
@@ -7,14 +7,15 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * Who this process is to the others, and its hybrid clock.
+ * Identity of this process in messages to other processes, and its hybrid clock. Stamps
+ * messages sent, and advances the clock by messages received.
  * <p>
  * Thread-safe.
  *
- * @param vm its VM
- * @param incarnation rises with each start on that VM
- * @param clock the process's hybrid clock
- * @param wallMs the wall clock
+ * @param vm the ID of the VM
+ * @param incarnation the incarnation, which increases with each start on the VM
+ * @param clock the hybrid clock of the process
+ * @param wallMs the wall clock, in milliseconds since the epoch
  * @since 0.1
  */
 public record WireIdentity(String vm, long incarnation, HybridClock clock, LongSupplier wallMs) {
--- a/wire/src/main/java/org/tallycart/wire/WireListener.java
+++ b/wire/src/main/java/org/tallycart/wire/WireListener.java
@@ -3,7 +3,8 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * Takes messages that are not replies.
+ * Receives the events of a client connection, and messages that are not replies. Called
+ * on a transport thread and must not block.
  *
  * @since 0.1
  */
@@ -11,19 +12,19 @@
 public interface WireListener {
 
 	/**
-	 * Take a message. Called on a transport thread: must not block.
+	 * Handle a message that is not a reply.
 	 * @param message the message
 	 */
 	void onMessage(Envelope message);
 
 	/**
-	 * Take note that the connection was opened.
+	 * Handle the opening of the connection.
 	 */
 	default void onOpen() {
 	}
 
 	/**
-	 * Take note that the connection was closed; messages on their way may be lost.
+	 * Handle the closing of the connection; messages in flight may be lost.
 	 */
 	default void onClosed() {
 	}
--- a/wire/src/main/java/org/tallycart/wire/WirePeer.java
+++ b/wire/src/main/java/org/tallycart/wire/WirePeer.java
@@ -3,30 +3,30 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * The other end of a connection that a server accepted.
+ * Remote process of a connection that a server accepted.
  * <p>
- * Implementations are thread-safe.
+ * Implementations must be thread-safe.
  *
  * @since 0.1
  */
 public interface WirePeer {
 
 	/**
-	 * Reply to a call.
-	 * @param call the call
-	 * @param reply the reply's body
+	 * Reply to a call. Nothing is sent if the message is one-way.
+	 * @param call the received message
+	 * @param reply the body of the reply
 	 */
 	void reply(Envelope call, Envelope.Builder reply);
 
 	/**
-	 * Send a message to which no reply is wanted.
-	 * @param message the message's body
+	 * Send a one-way message.
+	 * @param message the body of the message
 	 */
 	void send(Envelope.Builder message);
 
 	/**
 	 * Return whether the connection is open.
-	 * @return true if it is
+	 * @return {@code true} if the connection is open
 	 */
 	boolean isOpen();
 
--- a/wire/src/main/java/org/tallycart/wire/WireServer.java
+++ b/wire/src/main/java/org/tallycart/wire/WireServer.java
@@ -19,7 +19,7 @@
 import org.tallycart.wire.message.Envelope;
 
 /**
- * Listens for other processes of this system.
+ * Server that accepts connections from other processes of this system.
  * <p>
  * Thread-safe.
  *
@@ -29,30 +29,30 @@
 
 	private final Channel channel;
 
-	private final ChannelGroup accepted;
+	private final ChannelGroup connections;
 
-	private WireServer(Channel channel, ChannelGroup accepted) {
+	private WireServer(Channel channel, ChannelGroup connections) {
 		this.channel = channel;
-		this.accepted = accepted;
+		this.connections = connections;
 	}
 
 	static Either<String, WireServer> start(EventLoopGroup group, WireIdentity identity, Address address,
 			WireHandler handler) {
-		ChannelGroup accepted = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+		ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 		ServerBootstrap bootstrap = new ServerBootstrap().group(group)
 			.channel(NioServerSocketChannel.class)
 			.childOption(ChannelOption.TCP_NODELAY, true)
-			.childHandler(new WireCodec(() -> new InboundHandler(identity, handler, accepted)));
+			.childHandler(new WireCodec(() -> new InboundHandler(identity, handler, connections)));
 		ChannelFuture bound = bootstrap.bind(new InetSocketAddress(address.host(), address.port()))
 			.awaitUninterruptibly();
 		if (!bound.isSuccess()) {
 			return Either.left("cannot listen on " + address + ": " + bound.cause().getMessage());
 		}
-		return Either.right(new WireServer(bound.channel(), accepted));
+		return Either.right(new WireServer(bound.channel(), connections));
 	}
 
 	/**
-	 * Return the port listened on.
+	 * Return the port that the server listens on.
 	 * @return the port
 	 */
 	public int port() {
@@ -62,7 +62,7 @@
 	@Override
 	public void close() {
 		this.channel.close().awaitUninterruptibly();
-		this.accepted.close().awaitUninterruptibly();
+		this.connections.close().awaitUninterruptibly();
 	}
 
 	private static final class InboundHandler extends SimpleChannelInboundHandler<Envelope> {
@@ -71,17 +71,17 @@
 
 		private final WireHandler handler;
 
-		private final ChannelGroup accepted;
+		private final ChannelGroup connections;
 
-		private InboundHandler(WireIdentity identity, WireHandler handler, ChannelGroup accepted) {
+		private InboundHandler(WireIdentity identity, WireHandler handler, ChannelGroup connections) {
 			this.identity = identity;
 			this.handler = handler;
-			this.accepted = accepted;
+			this.connections = connections;
 		}
 
 		@Override
 		public void channelActive(ChannelHandlerContext context) {
-			this.accepted.add(context.channel());
+			this.connections.add(context.channel());
 		}
 
 		@Override
--- a/wire/src/main/java/org/tallycart/wire/WireTransport.java
+++ b/wire/src/main/java/org/tallycart/wire/WireTransport.java
@@ -9,7 +9,8 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * The threads and the identity that all of a process's connections to its own kind share.
+ * Creates servers and clients that share the event loops and the identity of this
+ * process.
  * <p>
  * Thread-safe.
  *
@@ -29,8 +30,8 @@
 	}
 
 	/**
-	 * Create a transport.
-	 * @param identity who this process is
+	 * Create a transport with its own event loops.
+	 * @param identity the identity of this process
 	 * @return the transport
 	 */
 	public static WireTransport create(WireIdentity identity) {
@@ -38,9 +39,9 @@
 	}
 
 	/**
-	 * Create a transport on event loops that the process has already.
-	 * @param identity who this process is
-	 * @param group the event loops; closed with the transport
+	 * Create a transport on existing event loops.
+	 * @param identity the identity of this process
+	 * @param group the event loops, which are shut down with the transport
 	 * @return the transport
 	 */
 	public static WireTransport create(WireIdentity identity, EventLoopGroup group) {
@@ -48,18 +49,19 @@
 	}
 
 	/**
-	 * Listen for other processes.
-	 * @param address where; port 0 takes a free one
-	 * @param handler handles what arrives
-	 * @return the server, or why the address cannot be listened on
+	 * Start a server.
+	 * @param address the address to listen on; port 0 selects a free port
+	 * @param handler handles received messages, on a transport thread
+	 * @return the server, or the reason why it cannot listen on the address
 	 */
 	public Either<String, WireServer> listen(Address address, WireHandler handler) {
 		return WireServer.start(this.group, this.identity, address, handler);
 	}
 
 	/**
-	 * Create a client, which connects when it is first used and again after a failure.
-	 * @param address where to
+	 * Create a client that ignores messages that are not replies. The client connects on
+	 * first use, and again after a failure.
+	 * @param address the address to connect to
 	 * @return the client
 	 */
 	public WireClient client(Address address) {
@@ -68,9 +70,11 @@
 	}
 
 	/**
-	 * Create a client that also takes messages the other side sends of its own accord.
-	 * @param address where to
-	 * @param listener takes those messages, on a transport thread
+	 * Create a client with a listener of messages that are not replies. The client
+	 * connects on first use, and again after a failure.
+	 * @param address the address to connect to
+	 * @param listener receives the messages and events of the connection, on a transport
+	 * thread
 	 * @return the client
 	 */
 	public WireClient client(Address address, WireListener listener) {
@@ -78,7 +82,7 @@
 	}
 
 	/**
-	 * Return who this process is.
+	 * Return the identity of this process.
 	 * @return the identity
 	 */
 	public WireIdentity identity() {
--- a/wire/src/main/java/org/tallycart/wire/package-info.java
+++ b/wire/src/main/java/org/tallycart/wire/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Messages between this system's own processes, and the Netty transport that carries
- * them.
+ * Netty transport for messages between the processes of this system.
  */
 @NullMarked
 package org.tallycart.wire;
