--- a/integration-tests/src/test/java/org/tallycart/integration/AbstractFleetTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/AbstractFleetTests.java
@@ -8,17 +8,17 @@
 import org.testng.annotations.BeforeClass;
 
 /**
- * Base of tests that share one fleet of real processes.
+ * Base class of tests that share one local fleet of processes.
  */
 abstract class AbstractFleetTests {
 
 	private LocalFleet fleet;
 
 	/**
-	 * Return the shape of the fleet that the tests need.
-	 * @return the shape
+	 * Return the definition of the fleet.
+	 * @return the definition
 	 */
-	abstract FleetDefinition shape();
+	abstract FleetDefinition definition();
 
 	LocalFleet fleet() {
 		return this.fleet;
@@ -26,7 +26,7 @@
 
 	@BeforeClass
 	void start() throws IOException {
-		this.fleet = LocalFleet.start(shape());
+		this.fleet = LocalFleet.start(definition());
 	}
 
 	@AfterClass(alwaysRun = true)
--- a/integration-tests/src/test/java/org/tallycart/integration/AnswerIntegrityTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/AnswerIntegrityTests.java
@@ -16,19 +16,20 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Every answer is whole and its own, whatever the upstreams and the network do.
+ * Tests that each caller receives its own complete response despite faults of upstreams
+ * and of the network.
  */
 public class AnswerIntegrityTests extends AbstractFleetTests {
 
 	private static final String NO_FAULT = "{\"truncate_percent\":0,\"foreign_percent\":0,\"fail_percent\":0,\"slow_factor\":1}";
 
 	@Override
-	FleetDefinition shape() {
+	FleetDefinition definition() {
 		return FleetDefinition.bogota(2).withUpstreamProxies();
 	}
 
 	@AfterMethod
-	void mend() {
+	void clearFaults() {
 		fleet().setUpstreamFault((id) -> true, NO_FAULT);
 	}
 
@@ -40,18 +41,18 @@
 	}
 
 	@Test(dataProvider = "faults")
-	void noAnswerIsShortOrAnothers(String prefix, String fault, double leastWhole) {
+	void noResponseIsTruncatedOrMisdelivered(String prefix, String fault, double minCompleteRatio) {
 		fleet().setUpstreamFault((id) -> id.startsWith(prefix), fault);
 		LoadTestReport report = BackgroundLoad
-			.start(fleet(), 30, 3_000, BackgroundLoad.questions(), BackgroundLoad.wholeQuestions())
+			.start(fleet(), 30, 3_000, BackgroundLoad.questions(), BackgroundLoad.unaryQuestions())
 			.await();
 		assertEquals(report.violations(), List.of());
 		assertEquals(report.countByOutcome("NONE"), 0, report.toText());
-		assertTrue(report.countByOutcome("COMPLETE") >= leastWhole * report.requestCount(), report.toText());
+		assertTrue(report.countByOutcome("COMPLETE") >= minCompleteRatio * report.requestCount(), report.toText());
 	}
 
 	@Test
-	void connectionsThatAreCutInMidStreamLoseAndRepeatNothing() {
+	void streamsOfClosedConnectionsAreResumedWithoutLossOrDuplicates() {
 		BackgroundLoad load = BackgroundLoad.start(fleet(), 30, 4_000, BackgroundLoad.questions());
 		for (int i = 0; i < 12; i++) {
 			Await.sleep(250);
@@ -60,21 +61,21 @@
 		LoadTestReport report = load.await();
 		assertEquals(report.violations(), List.of());
 		assertTrue(report.countByOutcome("COMPLETE") >= 0.8 * report.requestCount(), report.toText());
-		assertTrue(events("STREAM_RESUMED") > 0, "some stream was resumed elsewhere");
+		assertTrue(countEvents("STREAM_RESUMED") > 0, "no stream was resumed at another upstream");
 	}
 
 	@Test
-	void anUpstreamThatAcceptsAndNeverAnswersCostsFewRequests() {
+	void unresponsiveUpstreamFailsFewRequests() {
 		FaultProxy proxy = fleet().proxy("encode-2");
 		proxy.towardsCaller().setDropping(true);
-		LoadTestReport report = BackgroundLoad.start(fleet(), 30, 4_000, BackgroundLoad.wholeQuestions()).await();
+		LoadTestReport report = BackgroundLoad.start(fleet(), 30, 4_000, BackgroundLoad.unaryQuestions()).await();
 		proxy.towardsCaller().setDropping(false);
 		proxy.closeConnections();
 		assertEquals(report.violations(), List.of());
 		assertTrue(report.countByOutcome("COMPLETE") >= 0.9 * report.requestCount(), report.toText());
 	}
 
-	private long events(String name) {
+	private long countEvents(String name) {
 		long count = 0;
 		for (int i = 0; i < fleet().size(); i++) {
 			for (JsonNode event : ProcessHttp.get(fleet().vm(i).entry().address("status"), "/events")) {
--- a/integration-tests/src/test/java/org/tallycart/integration/AtMostOnceTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/AtMostOnceTests.java
@@ -14,9 +14,8 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * A request that may not be repeated runs at most once, and one told NOT_RUN never ran,
- * though its caller asks again through other VMs while processes die, freeze, drain and
- * are cut off. Runs are counted at the plain service.
+ * Tests that a non-idempotent request runs at most once, and not at all if its outcome is
+ * NOT_RUN, while callers resubmit it through other VMs and processes fail.
  */
 public class AtMostOnceTests extends AbstractFleetTests {
 
@@ -25,8 +24,9 @@
 	private static final String NO_OUTAGE = "{\"outage\":false}";
 
 	@Override
-	FleetDefinition shape() {
-		// Slow enough that some confirmations are always in flight when a fault comes.
+	FleetDefinition definition() {
+		// The long service time ensures that confirmations are in flight during each
+		// fault.
 		ServiceDefinition dispatch = new ServiceDefinition("dispatch", "plain", 4, 8, 400, 0, 1, 0);
 		List<ServiceDefinition> services = FleetDefinition.bogota(4)
 			.services()
@@ -50,26 +50,27 @@
 	}
 
 	@Test(dataProvider = "faults")
-	void nothingRunsTwiceAndNotRunIsTrue(NamedFault fault, double leastWhole) throws IOException {
+	void requestsRunAtMostOnceAndNotRunIsAccurate(NamedFault fault, double minCompleteRatio) throws IOException {
 		BackgroundLoad load = BackgroundLoad.start(fleet(), 40, 5_000, BackgroundLoad.confirmations());
 		Await.sleep(1_000);
 		fault.action.run();
 		LoadTestReport report = load.await();
 		Map<String, Integer> runs = fleet().runsByMarker();
-		for (Map.Entry<String, String> told : report.lastOutcomes().entrySet()) {
-			int ran = runs.getOrDefault(told.getKey(), 0);
-			assertTrue(ran <= 1, told.getKey() + " ran " + ran + " times");
-			assertTrue(!told.getValue().equals("NOT_RUN") || ran == 0, told.getKey() + " was told NOT_RUN and ran");
-			assertTrue(!told.getValue().equals("COMPLETE") || ran == 1,
-					told.getKey() + " was told COMPLETE and ran " + ran);
+		for (Map.Entry<String, String> outcome : report.lastOutcomes().entrySet()) {
+			int runCount = runs.getOrDefault(outcome.getKey(), 0);
+			assertTrue(runCount <= 1, outcome.getKey() + " ran " + runCount + " times");
+			assertTrue(!outcome.getValue().equals("NOT_RUN") || runCount == 0,
+					outcome.getKey() + " was told NOT_RUN and ran");
+			assertTrue(!outcome.getValue().equals("COMPLETE") || runCount == 1,
+					outcome.getKey() + " was told COMPLETE and ran " + runCount + " times");
 		}
 		assertTrue(report.violationCount() == 0, report.toText());
-		double whole = (double) report.countByOutcome("COMPLETE") / report.requestCount();
-		System.out.println("at most once, " + fault + ": " + report.requestCount() + " confirmations, " + whole
+		double completeRatio = (double) report.countByOutcome("COMPLETE") / report.requestCount();
+		System.out.println("at most once, " + fault + ": " + report.requestCount() + " confirmations, " + completeRatio
 				+ " answered COMPLETE, UNKNOWN " + report.countByOutcome("UNKNOWN") + ", NOT_RUN "
 				+ report.countByOutcome("NOT_RUN") + ", FAILED " + report.countByOutcome("FAILED") + ", NONE "
 				+ report.countByOutcome("NONE"));
-		assertTrue(whole >= leastWhole, "safety by refusing everything is no success: " + report.toText());
+		assertTrue(completeRatio >= minCompleteRatio, "too few requests completed: " + report.toText());
 	}
 
 	private void killEntry() throws IOException {
@@ -144,7 +145,7 @@
 		}
 	}
 
-	/** A fault with its name. */
+	/** Named fault, for test reports. */
 	private static final class NamedFault {
 
 		private final String name;
@@ -163,7 +164,7 @@
 
 	}
 
-	/** Brings a fault about. */
+	/** Injects a fault. */
 	@FunctionalInterface
 	private interface FaultAction {
 
--- a/integration-tests/src/test/java/org/tallycart/integration/BackgroundLoad.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/BackgroundLoad.java
@@ -9,7 +9,7 @@
 import org.tallycart.testbed.LocalFleet;
 
 /**
- * Load that runs in the background while a test brings failures about.
+ * Load that runs in the background while a test injects faults.
  */
 final class BackgroundLoad {
 
@@ -36,10 +36,11 @@
 		return new Scenario.RequestKind("shopper", 1, "assistant", WORKSPACES, "shopper", 6_000, 8, 40, true, true, 0);
 	}
 
-	static Scenario.RequestKind wholeQuestions() {
+	static Scenario.RequestKind unaryQuestions() {
 		return new Scenario.RequestKind("clerk", 1, "assistant", WORKSPACES, "clerk", 6_000, 4, 20, false, true, 0);
 	}
 
+	/** Await the end of the load. */
 	LoadTestReport await() {
 		return this.report.join();
 	}
--- a/integration-tests/src/test/java/org/tallycart/integration/ConfigurationTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/ConfigurationTests.java
@@ -21,14 +21,15 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * An accepted configuration is in force everywhere within seconds and never reverts.
+ * Tests that an accepted configuration becomes active on every VM within seconds and is
+ * never reverted.
  */
 public class ConfigurationTests extends AbstractFleetTests {
 
-	private static final long SECONDS_MS = 11_000;
+	private static final long PROPAGATION_TIMEOUT_MS = 11_000;
 
 	@Override
-	FleetDefinition shape() {
+	FleetDefinition definition() {
 		return FleetDefinition.bogota(3).withPlatformProxies();
 	}
 
@@ -45,7 +46,7 @@
 	}
 
 	private long headVersion() {
-		return this.status(0, "steward").path("config_version").asLong();
+		return status(0, "steward").path("config_version").asLong();
 	}
 
 	private JsonNode status(int vm, String program) {
@@ -54,20 +55,20 @@
 		return ProcessHttp.get(address, "/status");
 	}
 
-	private long awaitInForce(long version) {
-		long beganMs = System.currentTimeMillis();
-		Await.until("version " + version + " is in force in every entry", SECONDS_MS, () -> {
+	private long awaitActive(long version) {
+		long startMs = System.currentTimeMillis();
+		Await.until("version " + version + " is active in every entry", PROPAGATION_TIMEOUT_MS, () -> {
 			boolean all = true;
 			for (int i = 0; i < fleet().size(); i++) {
 				all &= status(i, "entry").path("config_version").asLong() >= version;
 			}
 			return all;
 		});
-		return System.currentTimeMillis() - beganMs;
+		return System.currentTimeMillis() - startMs;
 	}
 
-	private void awaitEveryStewardAt(long version) {
-		Await.until("every steward is at version " + version, SECONDS_MS, () -> {
+	private void awaitStewardVersion(long version) {
+		Await.until("every steward is at version " + version, PROPAGATION_TIMEOUT_MS, () -> {
 			boolean all = true;
 			for (int i = 0; i < fleet().size(); i++) {
 				all &= status(i, "steward").path("config_version").asLong() >= version;
@@ -77,7 +78,7 @@
 	}
 
 	@Test
-	void racingOperatorsWithDifferentDeclarationsBothWin() throws IOException {
+	void concurrentChangesOfDifferentDeclarationsAreAllAccepted() throws IOException {
 		long before = headVersion();
 		List<CompletableFuture<Integer>> operators = new ArrayList<>();
 		for (int i = 0; i < 4; i++) {
@@ -86,12 +87,12 @@
 			operators.add(CompletableFuture.supplyAsync(() -> apply(directory, author)));
 		}
 		operators.forEach((operator) -> assertEquals(operator.join().intValue(), ExitCode.OK));
-		long millis = awaitInForce(before + 4);
-		System.out.println("four racing changes in force everywhere after " + millis + " ms");
+		long millis = awaitActive(before + 4);
+		System.out.println("four concurrent changes active on every VM after " + millis + " ms");
 	}
 
 	@Test
-	void racingOperatorsOnOneDeclarationGetAConflict() throws IOException {
+	void concurrentChangesOfOneDeclarationConflict() throws IOException {
 		Path first = checkout("\n[workspace disputed]\nweight = 2\n");
 		Path second = checkout("\n[workspace disputed]\nweight = 3\n");
 		assertEquals(apply(first, "ana"), ExitCode.OK);
@@ -99,12 +100,12 @@
 	}
 
 	@Test
-	void anOldCheckoutNeverRevertsAnothersChange() throws IOException {
+	void staleCheckoutDoesNotRevertChangesOfOthers() throws IOException {
 		Path old = checkout("");
 		assertEquals(apply(checkout("\n[workspace newer]\n"), "ana"), ExitCode.OK);
 		long version = headVersionAfterApply();
 		assertEquals(apply(old, "beto"), ExitCode.OK);
-		assertEquals(headVersionAfterApply(), version, "nothing to change");
+		assertEquals(headVersionAfterApply(), version, "a stale checkout without changes must not create a version");
 	}
 
 	private long headVersionAfterApply() {
@@ -113,29 +114,29 @@
 	}
 
 	@Test
-	void aLostAnswerIsResolvedToAccepted() throws IOException {
+	void changeIsAcceptedAfterLostReplies() throws IOException {
 		long before = headVersionAfterApply();
 		fleet().setPlatformFault("{\"lose_answers\":4}");
 		assertEquals(apply(checkout("\n[workspace lost-answer]\n"), "ana"), ExitCode.OK);
 		fleet().setPlatformFault("{\"lose_answers\":0}");
-		awaitInForce(before + 1);
+		awaitActive(before + 1);
 	}
 
 	@DataProvider
-	Object[][] wrong() {
+	Object[][] invalidDeclarations() {
 		return new Object[][] { { "\n[workspace w]\nweight = heavy\n" }, { "\n[policy p]\nadmit = request.nothing\n" },
 				{ "\n[pipeline p]\nstages = nowhere\n" } };
 	}
 
-	@Test(dataProvider = "wrong")
-	void wrongDeclarationsAreRefusedAndChangeNothing(String extra) throws IOException {
+	@Test(dataProvider = "invalidDeclarations")
+	void invalidDeclarationsAreRejectedWithoutEffect(String extra) throws IOException {
 		long before = headVersionAfterApply();
 		assertEquals(apply(checkout(extra), "ana"), ExitCode.REFUSED);
 		assertEquals(headVersionAfterApply(), before);
 	}
 
 	@Test(priority = 1)
-	void duringAnOutageNothingIsAcceptedAndNothingReverts() throws IOException {
+	void outageOfThePlatformRejectsChangesAndRevertsNothing() throws IOException {
 		long before = headVersionAfterApply();
 		fleet().setPlatformFault("{\"outage\":true}");
 		assertEquals(apply(checkout("\n[workspace outage]\n"), "ana"), ExitCode.FAILED);
@@ -143,25 +144,25 @@
 		fleet().vm(2).entry().kill();
 		fleet().restartSteward(2);
 		fleet().restartEntry(2);
-		awaitEveryStewardAt(before);
+		awaitStewardVersion(before);
 		assertEquals(status(2, "entry").path("config_version").asLong(), before,
-				"a new VM in an outage asks its peers");
+				"a VM started during an outage must read the configuration from its peers");
 		fleet().setPlatformFault("{\"outage\":false}");
 	}
 
 	@Test(priority = 1)
-	void aFrozenStewardThatWakesCatchesUp() throws IOException {
+	void suspendedStewardCatchesUpAfterResuming() throws IOException {
 		long before = headVersionAfterApply();
 		fleet().vm(1).steward().suspend();
 		assertEquals(apply(checkout("\n[workspace frozen]\n"), "ana"), ExitCode.OK);
 		Await.sleep(2_000);
 		fleet().vm(1).steward().resume();
-		long millis = awaitInForce(before + 1);
-		System.out.println("in force at the woken VM after " + millis + " ms");
+		long millis = awaitActive(before + 1);
+		System.out.println("active at the resumed VM after " + millis + " ms");
 	}
 
 	@Test(priority = 2)
-	void aPlatformThatServesOldReadsRevertsNothing() {
+	void staleReadsFromThePlatformRevertNothing() {
 		long before = headVersionAfterApply();
 		fleet().setPlatformFault("{\"old_reads\":true}");
 		for (int i = 0; i < 5; i++) {
@@ -172,13 +173,13 @@
 	}
 
 	@Test(priority = 3)
-	void aVmCutOffFromThePlatformHearsFromItsPeers() throws IOException {
+	void vmWithoutPlatformAccessLearnsFromItsPeers() throws IOException {
 		long before = headVersionAfterApply();
 		fleet().proxy("platform-vm-3").setRefusing(true);
 		fleet().proxy("platform-vm-3").closeConnections();
 		assertEquals(apply(checkout("\n[workspace cut-off]\n"), "ana"), ExitCode.OK);
-		long millis = awaitInForce(before + 1);
-		System.out.println("in force at the VM cut off after " + millis + " ms");
+		long millis = awaitActive(before + 1);
+		System.out.println("active at the VM without platform access after " + millis + " ms");
 		fleet().proxy("platform-vm-3").setRefusing(false);
 	}
 
--- a/integration-tests/src/test/java/org/tallycart/integration/EndToEndTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/EndToEndTests.java
@@ -26,14 +26,14 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * Tests of the whole path with real processes.
+ * End-to-end tests of requests through entries and stewards that run as processes.
  */
 public class EndToEndTests extends AbstractFleetTests {
 
 	private static final int REQUESTS = 200;
 
 	@Override
-	FleetDefinition shape() {
+	FleetDefinition definition() {
 		return FleetDefinition.bogota(3);
 	}
 
@@ -52,39 +52,39 @@
 	}
 
 	@Test
-	void everyOfManyConcurrentRequestsGetsItsOwnWholeAnswer() throws InterruptedException, ExecutionException {
+	void eachConcurrentRequestGetsItsOwnCompleteResponse() throws InterruptedException, ExecutionException {
 		ExecutorService callers = Executors.newFixedThreadPool(REQUESTS);
 		List<Address> entries = fleet().entryAddresses();
-		List<Future<ReceivedResponse>> answers = new ArrayList<>();
+		List<Future<ReceivedResponse>> responses = new ArrayList<>();
 		for (int i = 0; i < REQUESTS; i++) {
 			int number = i;
-			answers
+			responses
 				.add(callers.submit(() -> CallerClient.submit(entries.get(number % entries.size()), request(number))));
 		}
-		for (Future<ReceivedResponse> future : answers) {
-			ReceivedResponse answer = future.get();
-			assertTrue(answer.isComplete(), answer.toString());
+		for (Future<ReceivedResponse> future : responses) {
+			ReceivedResponse response = future.get();
+			assertTrue(response.isComplete(), response.toString());
 		}
 		callers.shutdown();
 		assertTrue(callers.awaitTermination(10, TimeUnit.SECONDS));
 	}
 
 	@Test(priority = 1)
-	void anEntryServesOnWhenItsStewardIsDead() throws IOException {
+	void entryKeepsServingWithoutItsSteward() throws IOException {
 		fleet().vm(2).steward().kill();
 		Address entry = fleet().vm(2).entry().address("callers");
-		ReceivedResponse answer = CallerClient.submit(entry,
+		ReceivedResponse response = CallerClient.submit(entry,
 				Submission.builder("assistant", "kennedy-central", "alone").build());
-		assertTrue(answer.isComplete(), answer.toString());
+		assertTrue(response.isComplete(), response.toString());
 		fleet().restartSteward(2);
-		Await.until("the restarted steward owns slots again", 20_000,
+		Await.until("the restarted steward owns slots", 20_000,
 				() -> ProcessHttp.get(fleet().vm(2).steward().address("status"), "/status")
 					.path("open_slots")
 					.asInt() > 0);
 	}
 
 	@DataProvider
-	Object[][] wrongRequests() {
+	Object[][] invalidRequests() {
 		return new Object[][] { { Submission.builder("nothing", "suba-express", "a").build(), "NOT_DECLARED" },
 				{ Submission.builder("assistant", "nobody", "a").build(), "NOT_DECLARED" },
 				{ Submission.builder("assistant", "suba-express", "a").maxTokens(-1).build(), "BAD_REQUEST" },
@@ -92,19 +92,19 @@
 						"BAD_REQUEST" } };
 	}
 
-	@Test(dataProvider = "wrongRequests")
-	void aWrongRequestIsNotRunAndToldWhy(Submission submission, String reason) {
-		ReceivedResponse answer = CallerClient.submit(fleet().entryAddresses().get(0), submission);
-		assertEquals(answer.outcome(), "NOT_RUN");
-		assertEquals(answer.reason(), reason);
+	@Test(dataProvider = "invalidRequests")
+	void invalidRequestIsNotRunAndGetsAReason(Submission submission, String reason) {
+		ReceivedResponse response = CallerClient.submit(fleet().entryAddresses().get(0), submission);
+		assertEquals(response.outcome(), "NOT_RUN");
+		assertEquals(response.reason(), reason);
 	}
 
 	@Test
-	void theTimeLineHoldsEachStageOfARequest() {
-		ReceivedResponse answer = CallerClient.submit(fleet().entryAddresses().get(1),
+	void timelineContainsEachStageOfARequest() {
+		ReceivedResponse response = CallerClient.submit(fleet().entryAddresses().get(1),
 				Submission.builder("assistant", "kennedy-central", "traced").build());
 		JsonNode events = ProcessHttp.get(fleet().vm(1).entry().address("status"),
-				"/events?request=" + answer.requestId());
+				"/events?request=" + response.requestId());
 		List<String> names = new ArrayList<>();
 		events.forEach((event) -> names.add(event.path("name").asText()));
 		assertEquals(names.get(0), "REQUEST_ARRIVED");
@@ -113,19 +113,19 @@
 	}
 
 	@Test
-	void theTimeLineOfAConfirmationSpansEntryAndSlotOwnerInOrder() {
-		ReceivedResponse answer = CallerClient.submit(fleet().entryAddresses().get(0), request(0));
-		assertTrue(answer.isComplete(), answer.toString());
+	void timelineOfAConfirmationOrdersEventsOfEntryAndSlotOwner() {
+		ReceivedResponse response = CallerClient.submit(fleet().entryAddresses().get(0), request(0));
+		assertTrue(response.isComplete(), response.toString());
 		List<JsonNode> events = new ArrayList<>();
 		for (String port : fleet().statusAddresses().split(",")) {
-			ProcessHttp.get(Address.parse(port).get(), "/events?request=" + answer.requestId()).forEach(events::add);
+			ProcessHttp.get(Address.parse(port).get(), "/events?request=" + response.requestId()).forEach(events::add);
 		}
 		events.sort(Comparator.comparingLong((JsonNode event) -> event.path("ms").asLong())
 			.thenComparingInt((event) -> event.path("logical").asInt()));
 		List<String> names = events.stream().map((event) -> event.path("name").asText()).toList();
-		int answered = names.indexOf("CLAIM_ANSWERED");
-		assertTrue(answered > names.indexOf("REQUEST_ARRIVED"), names.toString());
-		assertTrue(answered < names.indexOf("KEY_CLAIMED"), names.toString());
+		int claimAnswered = names.indexOf("CLAIM_ANSWERED");
+		assertTrue(claimAnswered > names.indexOf("REQUEST_ARRIVED"), names.toString());
+		assertTrue(claimAnswered < names.indexOf("KEY_CLAIMED"), names.toString());
 	}
 
 }
--- a/integration-tests/src/test/java/org/tallycart/integration/GracefulStopTests.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/GracefulStopTests.java
@@ -13,27 +13,27 @@
 import static org.testng.Assert.assertTrue;
 
 /**
- * A graceful stop cuts off no request in flight, and hands slots over rather than losing
- * their claims.
+ * Tests that a graceful stop interrupts no request in flight and hands over slots
+ * together with their claims.
  */
 public class GracefulStopTests extends AbstractFleetTests {
 
 	@Override
-	FleetDefinition shape() {
+	FleetDefinition definition() {
 		return FleetDefinition.bogota(3);
 	}
 
 	@Test
-	void aRollingRestartOfEveryVmBreaksNoRequest() throws IOException {
+	void rollingRestartInterruptsNoRequest() throws IOException {
 		BackgroundLoad load = BackgroundLoad.start(fleet(), 40, 20_000, BackgroundLoad.questions(),
-				BackgroundLoad.wholeQuestions(), BackgroundLoad.confirmations());
+				BackgroundLoad.unaryQuestions(), BackgroundLoad.confirmations());
 		Await.sleep(1_000);
 		for (int i = 0; i < fleet().size(); i++) {
 			fleet().vm(i).entry().requestStop();
-			awaitUnready(i);
+			awaitNotReady(i);
 			fleet().vm(i).setInBalancer(false);
-			assertTrue(fleet().vm(i).entry().awaitExit(), "the entry ends in time");
-			assertTrue(fleet().vm(i).steward().stop(), "the steward ends in time");
+			assertTrue(fleet().vm(i).entry().awaitExit(), "the entry did not exit in time");
+			assertTrue(fleet().vm(i).steward().stop(), "the steward did not exit in time");
 			fleet().restartSteward(i);
 			fleet().restartEntry(i);
 		}
@@ -42,21 +42,20 @@
 				+ report.countByOutcome("COMPLETE"));
 		assertEquals(report.countByOutcome("COMPLETE"), report.requestCount(), report.toText());
 		assertEquals(report.violationCount(), 0);
-		assertEquals(takenOver(), 0, "slots are handed over, not taken over");
+		assertEquals(countTakeovers(), 0, "slots were taken over instead of handed over");
 	}
 
-	private void awaitUnready(int number) {
-		Await.until("readiness falls first", 5_000,
+	private void awaitNotReady(int number) {
+		Await.until("the entry is not ready", 5_000,
 				() -> !ProcessHttp.get(fleet().vm(number).entry().address("status"), "/readyz")
 					.path("ready")
 					.asBoolean());
 	}
 
-	private long takenOver() {
+	private long countTakeovers() {
 		long count = 0;
 		for (int i = 0; i < fleet().size(); i++) {
-			// Restarted stewards only know what came after their start: nothing may be
-			// taken over there.
+			// Covers only events since the restart of each steward.
 			for (JsonNode event : ProcessHttp.get(fleet().vm(i).steward().address("status"), "/events")) {
 				count += event.path("name").asText().equals("SLOTS_TAKEN_OVER") ? 1 : 0;
 			}
--- a/integration-tests/src/test/java/org/tallycart/integration/soak/SoakCallers.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/soak/SoakCallers.java
@@ -21,8 +21,8 @@
 import org.tallycart.core.ini.Address;
 
 /**
- * Callers that send requests of all kinds to all VMs, over connections that they keep,
- * and check each answer.
+ * Callers that send requests of all kinds to all VMs over persistent connections, and
+ * check each response.
  * <p>
  * Thread-safe.
  */
@@ -32,27 +32,27 @@
 
 	private static final int MAX_PAUSE_MS = 60;
 
-	private static final int WAIT_MS = 2_000;
+	private static final int TIMEOUT_MS = 2_000;
 
-	private static final int STREAM_WAIT_MS = 5_000;
+	private static final int STREAM_TIMEOUT_MS = 5_000;
 
-	private static final int EVENTS = 4;
+	private static final int EVENTS_PER_STREAM = 4;
 
-	/** One request in this many crashes the upstreams that run it. */
-	private static final int CRASHING_SHARE = 60;
+	/** One of this many requests crashes the upstreams that run it. */
+	private static final int CRASHING_INTERVAL = 60;
 
-	/** Statuses that say that the request has not run and will not. */
-	private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+	/** Statuses that guarantee that the request has not run and will not run. */
+	private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
 
-	private static final Set<Integer> FAILURES = Set.of(500, 502, 504);
+	private static final Set<Integer> FAILURE_STATUSES = Set.of(500, 502, 504);
 
 	private final SoakFleet fleet;
 
 	private final Violations violations;
 
-	private final Map<String, Integer> promised = new ConcurrentHashMap<>();
+	private final Map<String, Integer> notRunStatuses = new ConcurrentHashMap<>();
 
-	private final Set<String> onceIds = ConcurrentHashMap.newKeySet();
+	private final Set<String> nonIdempotentIds = ConcurrentHashMap.newKeySet();
 
 	private final ExecutorService threads = Executors.newFixedThreadPool(CALLERS);
 
@@ -63,7 +63,7 @@
 		this.violations = violations;
 	}
 
-	// Callers that send only what they are asked to.
+	// Creates callers that send no requests of their own.
 	static SoakCallers idle(SoakFleet fleet, Violations violations) {
 		return new SoakCallers(fleet, violations);
 	}
@@ -82,7 +82,7 @@
 		for (int i = 0; !this.stopped; i++) {
 			SoakNode node = this.fleet.nodes().get(random.nextInt(this.fleet.nodes().size()));
 			String kind = List.of("plain", "once", "stream").get(random.nextInt(3));
-			boolean crashing = random.nextInt(CRASHING_SHARE) == 0;
+			boolean crashing = random.nextInt(CRASHING_INTERVAL) == 0;
 			String path = crashing ? "/stream/" + SoakFleet.CRASHING : "/" + kind + "/x";
 			call(client, node.callers(), path, name + "-" + i);
 			pause(random.nextInt(MAX_PAUSE_MS));
@@ -96,21 +96,21 @@
 			.build();
 	}
 
-	// Returns the status, or nothing where no whole answer came.
+	// Returns the status, or empty if no complete response was received.
 	private Optional<Integer> call(HttpClient client, Address address, String path, String id) {
 		boolean stream = path.startsWith("/stream/");
-		int waitMs = stream ? STREAM_WAIT_MS : WAIT_MS;
+		int timeoutMs = stream ? STREAM_TIMEOUT_MS : TIMEOUT_MS;
 		if (path.startsWith("/once/")) {
-			this.onceIds.add(id);
+			this.nonIdempotentIds.add(id);
 		}
 		try {
-			HttpResponse<String> answer = client.send(request(address, path, id, waitMs, stream),
+			HttpResponse<String> response = client.send(request(address, path, id, timeoutMs, stream),
 					HttpResponse.BodyHandlers.ofString());
-			check(answer, path, id);
-			return Optional.of(answer.statusCode());
+			check(response, path, id);
+			return Optional.of(response.statusCode());
 		}
 		catch (IOException ex) {
-			// No answer, or one that shows that it is not complete, promises nothing.
+			// Without a complete response nothing is known about the request.
 			return Optional.empty();
 		}
 		catch (InterruptedException ex) {
@@ -119,12 +119,12 @@
 		}
 	}
 
-	private static HttpRequest request(Address address, String path, String id, int waitMs, boolean stream) {
+	private static HttpRequest request(Address address, String path, String id, int timeoutMs, boolean stream) {
 		HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + address + path))
-			.timeout(Duration.ofMillis(waitMs + 1_000L))
+			.timeout(Duration.ofMillis(timeoutMs + 1_000L))
 			.header("Api-Key", "key")
 			.header("X-Tallycart-Request-Id", id)
-			.header("X-Tallycart-Deadline-Ms", Integer.toString(waitMs))
+			.header("X-Tallycart-Deadline-Ms", Integer.toString(timeoutMs))
 			.POST(HttpRequest.BodyPublishers.noBody());
 		if (stream) {
 			request.header("X-Tallycart-Model", "m")
@@ -136,15 +136,15 @@
 		return request.build();
 	}
 
-	private void check(HttpResponse<String> answer, String path, String id) {
-		int status = answer.statusCode();
-		if (status == 200 && !answer.body().equals(expected(path, id))) {
-			this.violations.add("a foreign or incomplete answer to " + path + " " + id + ": " + answer.body());
+	private void check(HttpResponse<String> response, String path, String id) {
+		int status = response.statusCode();
+		if (status == 200 && !response.body().equals(expected(path, id))) {
+			this.violations.add("misdelivered or incomplete response to " + path + " " + id + ": " + response.body());
 		}
-		else if (PROMISES.contains(status)) {
-			this.promised.put(id, status);
+		else if (NOT_RUN_STATUSES.contains(status)) {
+			this.notRunStatuses.put(id, status);
 		}
-		else if (status != 200 && !FAILURES.contains(status)) {
+		else if (status != 200 && !FAILURE_STATUSES.contains(status)) {
 			this.violations.add("status " + status + " for " + path + " " + id);
 		}
 	}
@@ -153,20 +153,20 @@
 		if (!path.startsWith("/stream/")) {
 			return "POST " + path + " for " + id;
 		}
-		return IntStream.rangeClosed(1, EVENTS)
+		return IntStream.rangeClosed(1, EVENTS_PER_STREAM)
 			.mapToObj((number) -> "id: " + number + "\ndata: " + id + "\n\n")
 			.collect(Collectors.joining());
 	}
 
 	/**
-	 * Return how many of some calls of one VM are answered with success.
+	 * Send calls to a VM and return the number of successful responses.
 	 * @param node the VM
 	 * @param path the path
-	 * @param count how many calls are made
-	 * @param name names the calls
-	 * @return the count
+	 * @param count the number of calls
+	 * @param name the prefix of the request IDs
+	 * @return the number of successful responses
 	 */
-	int served(SoakNode node, String path, int count, String name) {
+	int countServed(SoakNode node, String path, int count, String name) {
 		HttpClient client = client();
 		int served = 0;
 		for (int i = 0; i < count; i++) {
@@ -177,16 +177,16 @@
 	}
 
 	/**
-	 * Return the status of a call that is no traffic, such as a look at a version.
+	 * Send a call whose response is not checked and return its status.
 	 * @param node the VM
 	 * @param path the path
-	 * @param id names the call
-	 * @return the status, or 0 where no answer came
+	 * @param id the request ID
+	 * @return the status, or 0 if no response was received
 	 */
 	int status(SoakNode node, String path, String id) {
 		try {
 			return client()
-				.send(request(node.callers(), path, id, WAIT_MS, false), HttpResponse.BodyHandlers.ofString())
+				.send(request(node.callers(), path, id, TIMEOUT_MS, false), HttpResponse.BodyHandlers.ofString())
 				.statusCode();
 		}
 		catch (IOException ex) {
@@ -198,16 +198,16 @@
 		}
 	}
 
-	/** Check what holds only once all is over: what ran, and how often. */
+	/** Check how often each request ran; call after all requests have ended. */
 	void checkRuns() {
-		this.promised.forEach((id, status) -> {
-			if (this.fleet.runs(id) > 0) {
-				this.violations.add(id + " was answered " + status + " and ran");
+		this.notRunStatuses.forEach((id, status) -> {
+			if (this.fleet.runCount(id) > 0) {
+				this.violations.add(id + " got status " + status + " and ran");
 			}
 		});
-		for (String id : this.onceIds) {
-			if (this.fleet.runs(id) > 1) {
-				this.violations.add(id + " may run once and ran " + this.fleet.runs(id) + " times");
+		for (String id : this.nonIdempotentIds) {
+			if (this.fleet.runCount(id) > 1) {
+				this.violations.add(id + " is not idempotent and ran " + this.fleet.runCount(id) + " times");
 			}
 		}
 	}
@@ -226,12 +226,12 @@
 		stop();
 	}
 
-	/** Sends nothing more, and waits for the answers that are due. */
+	/** Stop sending and await outstanding responses. */
 	void stop() {
 		this.stopped = true;
 		this.threads.shutdown();
 		try {
-			this.threads.awaitTermination(2L * STREAM_WAIT_MS, TimeUnit.MILLISECONDS);
+			this.threads.awaitTermination(2L * STREAM_TIMEOUT_MS, TimeUnit.MILLISECONDS);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/integration-tests/src/test/java/org/tallycart/integration/soak/SoakFaults.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/soak/SoakFaults.java
@@ -14,7 +14,7 @@
 import org.tallycart.testbed.ManagedProcess;
 
 /**
- * A seeded series of faults, which overlap. Each is undone after a while.
+ * Injects a seeded series of overlapping faults, and clears each after a random time.
  * <p>
  * Not thread-safe.
  */
@@ -22,26 +22,26 @@
 
 	private static final int MAX_GAP_MS = 500;
 
-	private static final int LEAST_LENGTH_MS = 200;
+	private static final int MIN_DURATION_MS = 200;
 
-	private static final int MAX_LENGTH_MS = 2_500;
+	private static final int MAX_DURATION_MS = 2_500;
 
 	private static final int MAX_DELAY_MS = 150;
 
-	/** With one fault in this many an upstream also names a limit. */
-	private static final int LIMIT_SHARE = 5;
+	/** One of this many faults comes with a limit stated by an upstream. */
+	private static final int LIMIT_INTERVAL = 5;
 
-	/** With one fault in this many an upstream also asks for rest, or leaves. */
-	private static final int ABSENCE_SHARE = 5;
+	/** One of this many faults comes with an upstream backing off or draining. */
+	private static final int UNAVAILABILITY_INTERVAL = 5;
 
-	/** With one fault in this many the store comes back from a copy. */
-	private static final int RETURN_SHARE = 6;
+	/** One of this many faults comes with a restore of the store from a backup. */
+	private static final int ROLLBACK_INTERVAL = 6;
 
-	private static final int LEAST_REWRITE_MS = 100;
+	private static final int MIN_REWRITE_MS = 100;
 
 	private static final int MAX_REWRITE_MS = 1_900;
 
-	/** Largest limit, in requests a second: a third of what an upstream gets. */
+	/** Highest stated limit, in requests per second; below the usual load. */
 	private static final int MAX_LIMIT = 5;
 
 	private final SoakFleet fleet;
@@ -50,47 +50,45 @@
 
 	private final Random random;
 
-	// Limits and the store's returns have a source of their own, so that a seed's other
-	// faults stay as they are.
-	private final Random limits;
+	// Separate generators keep the sequences of the other faults of a seed unchanged.
+	private final Random limitRandom;
 
-	// The same for upstreams that rest or leave.
-	private final Random absences;
+	private final Random unavailabilityRandom;
 
-	private final ScheduledExecutorService undoing = Executors.newScheduledThreadPool(4);
+	private final ScheduledExecutorService undoExecutor = Executors.newScheduledThreadPool(4);
 
-	private final List<Future<?>> undone = new ArrayList<>();
+	private final List<Future<?>> undoTasks = new ArrayList<>();
 
-	private volatile boolean returning;
+	private volatile boolean rollbackInProgress;
 
 	SoakFaults(SoakFleet fleet, Violations violations, long seed) {
 		this.fleet = fleet;
 		this.violations = violations;
 		this.random = new Random(seed);
-		this.limits = new Random(~seed);
-		this.absences = new Random(Long.reverse(seed));
+		this.limitRandom = new Random(~seed);
+		this.unavailabilityRandom = new Random(Long.reverse(seed));
 	}
 
 	/**
-	 * Do harm for a while, and undo all of it.
-	 * @param ms for how long new faults begin, in milliseconds
+	 * Inject faults for a time and wait until all are cleared.
+	 * @param ms the time during which new faults begin, in milliseconds
 	 */
 	void run(long ms) throws Exception {
 		long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
 		while (System.nanoTime() < end) {
-			next();
-			if (this.limits.nextInt(LIMIT_SHARE) == 0) {
-				nameLimit();
+			injectNext();
+			if (this.limitRandom.nextInt(LIMIT_INTERVAL) == 0) {
+				stateLimit();
 			}
-			if (this.absences.nextInt(ABSENCE_SHARE) == 0) {
-				restOrLeave();
+			if (this.unavailabilityRandom.nextInt(UNAVAILABILITY_INTERVAL) == 0) {
+				makeUnavailable();
 			}
-			if (this.limits.nextInt(RETURN_SHARE) == 0) {
-				returnOfStore();
+			if (this.limitRandom.nextInt(ROLLBACK_INTERVAL) == 0) {
+				rollBackStore();
 			}
 			SoakCallers.pause(this.random.nextInt(MAX_GAP_MS));
 		}
-		for (Future<?> each : this.undone) {
+		for (Future<?> each : this.undoTasks) {
 			each.get();
 		}
 	}
@@ -99,20 +97,20 @@
 		return from.get(this.random.nextInt(from.size()));
 	}
 
-	private void next() throws IOException {
+	private void injectNext() throws IOException {
 		SoakNode node = pick(this.fleet.nodes());
 		String upstream = pick(this.fleet.upstreamIds());
 		switch (this.random.nextInt(15)) {
 			case 0 -> kill(node);
 			case 1 -> freeze(node);
 			case 2 -> stop(node);
-			case 3 -> harm("store path of " + node.vm(), node.store());
-			case 4 -> harm("path of " + upstream, this.fleet.upstreamPath(upstream));
-			case 5, 6 -> harm("a path between VMs", pick(this.fleet.peerPaths()));
-			case 7, 8, 9 -> misbehave(upstream);
+			case 3 -> injectPathFault("store path of " + node.vm(), node.storePath());
+			case 4 -> injectPathFault("path of " + upstream, this.fleet.upstreamPath(upstream));
+			case 5, 6 -> injectPathFault("a path between VMs", pick(this.fleet.peerPaths()));
+			case 7, 8, 9 -> injectUpstreamFault(upstream);
 			case 10 -> this.fleet.upstreamPath(upstream).closeConnections();
 			case 11 -> storeOutage();
-			case 12 -> lapse(upstream);
+			case 12 -> expireEntry(upstream);
 			case 13 -> {
 				this.violations.note("version " + this.fleet.changeConfig());
 				if (this.random.nextBoolean()) {
@@ -123,58 +121,58 @@
 		}
 	}
 
-	private void nameLimit() {
+	private void stateLimit() {
 		List<String> ids = this.fleet.upstreamIds();
-		String upstream = ids.get(this.limits.nextInt(ids.size()));
-		int perSecond = 1 + this.limits.nextInt(MAX_LIMIT);
-		this.violations.note(upstream + " names a limit of " + perSecond);
+		String upstream = ids.get(this.limitRandom.nextInt(ids.size()));
+		int perSecond = 1 + this.limitRandom.nextInt(MAX_LIMIT);
+		this.violations.note(upstream + " states a limit of " + perSecond);
 		this.fleet.upstream(upstream).stateLimit(String.valueOf(perSecond));
-		undoAfter(LEAST_LENGTH_MS + this.limits.nextInt(MAX_LENGTH_MS),
+		undoAfter(MIN_DURATION_MS + this.limitRandom.nextInt(MAX_DURATION_MS),
 				() -> this.fleet.upstream(upstream).clearLimit());
 	}
 
-	private void restOrLeave() {
+	private void makeUnavailable() {
 		List<String> ids = this.fleet.upstreamIds();
-		String upstream = ids.get(this.absences.nextInt(ids.size()));
-		int ms = LEAST_LENGTH_MS + this.absences.nextInt(MAX_LENGTH_MS);
-		if (this.absences.nextBoolean() && this.fleet.mayLeave(upstream)) {
-			this.violations.note(upstream + " leaves and says so in its replies");
-			this.fleet.leave(upstream, ms);
+		String upstream = ids.get(this.unavailabilityRandom.nextInt(ids.size()));
+		int ms = MIN_DURATION_MS + this.unavailabilityRandom.nextInt(MAX_DURATION_MS);
+		if (this.unavailabilityRandom.nextBoolean() && this.fleet.mayDrain(upstream)) {
+			this.violations.note(upstream + " states that it is draining");
+			this.fleet.drain(upstream, ms);
 			return;
 		}
-		this.violations.note(upstream + " asks for rest");
+		this.violations.note(upstream + " requests a backoff");
 		this.fleet.upstream(upstream).startBackoff(String.valueOf(ms / 1_000.0));
 		undoAfter(ms, () -> this.fleet.upstream(upstream).endBackoff());
 	}
 
-	// What operators and upstreams wrote comes again a while after the store's return.
-	private void returnOfStore() {
-		if (this.returning) {
+	// Operators and upstreams rewrite their objects some time after the restore.
+	private void rollBackStore() {
+		if (this.rollbackInProgress) {
 			return;
 		}
-		this.returning = true;
-		this.violations.note("a copy of the store is kept");
+		this.rollbackInProgress = true;
+		this.violations.note("backup of the store saved");
 		this.fleet.store().saveBackup();
-		int after = LEAST_LENGTH_MS + this.limits.nextInt(MAX_LENGTH_MS);
-		undoAfter(after, () -> {
-			this.violations.note("the store comes back from it");
+		int delayMs = MIN_DURATION_MS + this.limitRandom.nextInt(MAX_DURATION_MS);
+		undoAfter(delayMs, () -> {
+			this.violations.note("store restored from backup");
 			this.fleet.store().restoreBackup();
 		});
-		undoAfter(after + LEAST_REWRITE_MS + this.limits.nextInt(MAX_REWRITE_MS), () -> {
-			this.fleet.writeAgain();
-			this.returning = false;
+		undoAfter(delayMs + MIN_REWRITE_MS + this.limitRandom.nextInt(MAX_REWRITE_MS), () -> {
+			this.fleet.rewriteObjects();
+			this.rollbackInProgress = false;
 		});
 	}
 
 	private void undoLater(UndoAction undo) {
-		undoAfter(LEAST_LENGTH_MS + this.random.nextInt(MAX_LENGTH_MS), undo);
+		undoAfter(MIN_DURATION_MS + this.random.nextInt(MAX_DURATION_MS), undo);
 	}
 
-	private void undoAfter(int after, UndoAction undo) {
-		this.undone.add(this.undoing.schedule(() -> {
+	private void undoAfter(int delayMs, UndoAction undo) {
+		this.undoTasks.add(this.undoExecutor.schedule(() -> {
 			undo.run();
 			return null;
-		}, after, TimeUnit.MILLISECONDS));
+		}, delayMs, TimeUnit.MILLISECONDS));
 	}
 
 	private void kill(SoakNode node) {
@@ -200,11 +198,11 @@
 		});
 	}
 
-	private void harm(String name, FaultProxy path) {
+	private void injectPathFault(String name, FaultProxy path) {
 		FaultProxy.Direction direction = this.random.nextBoolean() ? path.towardsTarget() : path.towardsCaller();
-		int how = this.random.nextInt(5);
-		this.violations.note("harm " + how + " to " + name);
-		switch (how) {
+		int kind = this.random.nextInt(5);
+		this.violations.note("fault " + kind + " on " + name);
+		switch (kind) {
 			case 0 -> path.closeConnections();
 			case 1 -> {
 				path.closeConnections();
@@ -215,8 +213,8 @@
 			default -> direction.setDropping(true);
 		}
 		undoLater(() -> {
-			// Bytes that were dropped never come, so the connection cannot go on.
-			if (how >= 3) {
+			// A connection cannot continue after bytes were dropped.
+			if (kind >= 3) {
 				path.closeConnections();
 			}
 			path.setRefusing(false);
@@ -226,7 +224,7 @@
 		});
 	}
 
-	private void misbehave(String upstream) {
+	private void injectUpstreamFault(String upstream) {
 		UpstreamStandin.Fault fault = pick(List.of(UpstreamStandin.Fault.values()));
 		this.violations.note(upstream + " " + fault);
 		this.fleet.upstream(upstream).setFault(fault);
@@ -234,9 +232,9 @@
 	}
 
 	private void storeOutage() {
-		boolean silent = this.random.nextBoolean();
-		this.violations.note("store " + (silent ? "silent" : "down"));
-		if (silent) {
+		boolean unresponsive = this.random.nextBoolean();
+		this.violations.note("store " + (unresponsive ? "unresponsive" : "down"));
+		if (unresponsive) {
 			this.fleet.store().setUnresponsive(true);
 		}
 		else {
@@ -248,12 +246,12 @@
 		});
 	}
 
-	private void lapse(String upstream) {
-		this.violations.note("entry of " + upstream + " lapses");
+	private void expireEntry(String upstream) {
+		this.violations.note("entry of " + upstream + " expires");
 		if (this.fleet.store().names("servers").contains(upstream)) {
 			this.fleet.store().remove("servers", upstream);
 		}
-		undoLater(() -> this.fleet.list(upstream, "ready"));
+		undoLater(() -> this.fleet.publish(upstream, "ready"));
 	}
 
 	private void changeSettings(SoakNode node) throws IOException {
@@ -263,10 +261,10 @@
 
 	@Override
 	public void close() {
-		this.undoing.shutdownNow();
+		this.undoExecutor.shutdownNow();
 	}
 
-	/** Undoes a fault. */
+	/** Clears a fault. */
 	@FunctionalInterface
 	private interface UndoAction {
 
--- a/integration-tests/src/test/java/org/tallycart/integration/soak/SoakFleet.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/soak/SoakFleet.java
@@ -22,8 +22,8 @@
 import org.tallycart.standin.FaultProxy;
 
 /**
- * VMs as processes, and beside them, in the test's own process, a store and upstreams. A
- * proxy stands on each path: to the store, to each upstream, to each VM from the others.
+ * Fleet of the soak test: VMs as processes, and a store and upstreams in the test
+ * process. A proxy is placed on each path to the store, to an upstream and between VMs.
  * <p>
  * Thread-safe.
  */
@@ -49,16 +49,16 @@
 			 "tenants":[{"name":"w","api_keys":["key"]}]}
 			""";
 
-	/** What a request's target holds that crashes the upstreams that run it. */
+	/** Part of a request's target that makes the upstreams running it crash. */
 	static final String CRASHING = "crash";
 
-	private static final long BACK_MS = 1_000;
+	private static final long REPLACEMENT_DELAY_MS = 1_000;
 
 	private static final String DOMAIN = "d";
 
-	private static final int UPSTREAMS_EACH = 3;
+	private static final int UPSTREAMS_PER_SERVICE = 3;
 
-	/** How long a request runs, so that faults meet some that run, in milliseconds. */
+	/** Duration of a request, long enough that faults hit running requests. */
 	private static final long WORK_MS = 40;
 
 	private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -71,15 +71,15 @@
 
 	private final List<FaultProxy> peerPaths = new CopyOnWriteArrayList<>();
 
-	private final Set<String> gone = ConcurrentHashMap.newKeySet();
+	private final Set<String> stopped = ConcurrentHashMap.newKeySet();
 
-	private final Set<String> leaving = ConcurrentHashMap.newKeySet();
+	private final Set<String> drainingByStatement = ConcurrentHashMap.newKeySet();
 
-	private final Set<String> draining = ConcurrentHashMap.newKeySet();
+	private final Set<String> drainingByEntry = ConcurrentHashMap.newKeySet();
 
 	private final List<Long> crashedAtMs = new CopyOnWriteArrayList<>();
 
-	private final ScheduledExecutorService back = Executors.newSingleThreadScheduledExecutor();
+	private final ScheduledExecutorService replacementExecutor = Executors.newSingleThreadScheduledExecutor();
 
 	private final List<SoakNode> nodes = new ArrayList<>();
 
@@ -89,7 +89,7 @@
 		Files.createDirectories(folder);
 		this.store.rewriteAddresses(this::peerPath);
 		for (String service : List.of("plain", "engine", "pool")) {
-			for (int i = 0; i < UPSTREAMS_EACH; i++) {
+			for (int i = 0; i < UPSTREAMS_PER_SERVICE; i++) {
 				addUpstream(service);
 			}
 		}
@@ -119,83 +119,83 @@
 		upstream.crashOn(CRASHING, () -> replace(id, service));
 		this.upstreams.put(id, upstream);
 		this.upstreamPaths.put(id, path);
-		list(id, "ready");
+		publish(id, "ready");
 		return id;
 	}
 
-	// An upstream that a request has crashed refuses connections and is back under
-	// another
-	// name after a while.
+	// A crashed upstream refuses connections and is replaced under another ID after a
+	// delay.
 	private void replace(String id, String service) {
 		this.crashedAtMs.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime()));
 		this.upstreamPaths.get(id).close();
-		this.gone.add(id);
-		this.back.schedule(() -> takePlace(id, service), BACK_MS, TimeUnit.MILLISECONDS);
+		this.stopped.add(id);
+		this.replacementExecutor.schedule(() -> startReplacement(id, service), REPLACEMENT_DELAY_MS,
+				TimeUnit.MILLISECONDS);
 	}
 
-	// When requests crashed upstreams, in their order.
+	// Returns the times of the crashes, in order, in milliseconds of the monotonic clock.
 	List<Long> crashesMs() {
 		return new ArrayList<>(this.crashedAtMs);
 	}
 
 	/**
-	 * Have an upstream say in its replies that it leaves, and nothing in its entry. It
-	 * serves on, ends after a while, and another takes its place.
-	 * @param id the upstream
-	 * @param afterMs when it ends, in milliseconds
+	 * Make an upstream state in its replies, but not in its entry, that it is draining.
+	 * It keeps serving, stops after a delay, and is replaced.
+	 * @param id the ID of the upstream
+	 * @param afterMs the delay until it stops, in milliseconds
 	 */
-	void leave(String id, long afterMs) {
-		this.leaving.add(id);
+	void drain(String id, long afterMs) {
+		this.drainingByStatement.add(id);
 		upstream(id).stateDraining("1");
-		this.back.schedule(() -> {
-			if (!lives(id)) {
+		this.replacementExecutor.schedule(() -> {
+			if (!isRunning(id)) {
 				return null;
 			}
-			this.gone.add(id);
+			this.stopped.add(id);
 			this.upstreamPaths.get(id).close();
-			return takePlace(id, service(id));
+			return startReplacement(id, service(id));
 		}, afterMs, TimeUnit.MILLISECONDS);
 	}
 
-	private String takePlace(String id, String service) throws IOException {
+	private String startReplacement(String id, String service) throws IOException {
 		if (this.store.names("servers").contains(id)) {
 			this.store.remove("servers", id);
 		}
 		return addUpstream(service);
 	}
 
-	// Whether it may be told to leave, so that it and others of its service go on.
-	boolean mayLeave(String id) {
-		long staying = this.upstreams.keySet()
+	// Returns whether the upstream may drain and leave its service with another upstream.
+	boolean mayDrain(String id) {
+		long activeCount = this.upstreams.keySet()
 			.stream()
-			.filter((each) -> service(each).equals(service(id)) && stays(each))
+			.filter((each) -> service(each).equals(service(id)) && isActive(each))
 			.count();
-		return stays(id) && staying > 1;
+		return isActive(id) && activeCount > 1;
 	}
 
-	boolean stays(String id) {
-		return lives(id) && !this.leaving.contains(id);
+	boolean isActive(String id) {
+		return isRunning(id) && !this.drainingByStatement.contains(id);
 	}
 
-	boolean lives(String id) {
-		return !this.gone.contains(id);
+	boolean isRunning(String id) {
+		return !this.stopped.contains(id);
 	}
 
-	void list(String id, String state) {
-		if (this.gone.contains(id)) {
+	void publish(String id, String state) {
+		if (this.stopped.contains(id)) {
 			return;
 		}
 		if (state.equals("draining")) {
-			this.draining.add(id);
+			this.drainingByEntry.add(id);
 		}
 		this.store.put("servers", id, upstream(id).entry(service(id), DOMAIN, state));
 	}
 
-	/** What the operator and the upstreams have written last, once more. */
-	synchronized void writeAgain() {
+	/** Write the latest objects of the operator and the upstreams to the store again. */
+	synchronized void rewriteObjects() {
 		this.store.put("config", "main", String.format(CONFIG, this.version));
-		Set<String> draining = Set.copyOf(this.draining);
-		this.upstreams.keySet().forEach((id) -> list(id, draining.contains(id) ? "draining" : "ready"));
+		Set<String> draining = Set.copyOf(this.drainingByEntry);
+		this.upstreams.keySet().forEach((id) -> publish(id, draining.contains(id) ? "draining" : "ready"));
 	}
 
 	private static String service(String id) {
@@ -236,14 +236,14 @@
 		return this.peerPaths;
 	}
 
-	int runs(String request) {
+	int runCount(String request) {
 		return this.upstreams.values().stream().mapToInt((upstream) -> upstream.runCount(request)).sum();
 	}
 
 	@Override
 	public void close() {
 		this.nodes.forEach(SoakNode::close);
-		this.back.shutdownNow();
+		this.replacementExecutor.shutdownNow();
 		this.upstreamPaths.values().forEach(FaultProxy::close);
 		this.peerPaths.forEach(FaultProxy::close);
 		this.group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/integration-tests/src/test/java/org/tallycart/integration/soak/SoakNode.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/soak/SoakNode.java
@@ -15,17 +15,17 @@
 import org.tallycart.testbed.ManagedProcess;
 
 /**
- * One VM: a serving process in a JVM of its own, with its way to the store through a
- * proxy.
+ * VM of the soak test: a serving process in its own JVM_OPTIONS, connected to the store
+ * through a proxy.
  * <p>
- * Thread-safe: its methods hold its lock.
+ * Thread-safe.
  */
 final class SoakNode implements AutoCloseable {
 
 	private static final Pattern STARTED = Pattern
 		.compile("name=PROCESS_STARTED .*callers=\\S+:(\\d+) readiness=\\S+:(\\d+) ");
 
-	private static final List<String> JVM = List.of("-Xmx96m", "-Xss256k", "-XX:+UseSerialGC",
+	private static final List<String> JVM_OPTIONS = List.of("-Xmx96m", "-Xss256k", "-XX:+UseSerialGC",
 			"-XX:TieredStopAtLevel=1");
 
 	private final String vm;
@@ -34,27 +34,27 @@
 
 	private final Path folder;
 
-	private final FaultProxy store;
+	private final FaultProxy storePath;
 
 	private ManagedProcess process;
 
-	private int starts;
+	private int startCount;
 
 	SoakNode(String vm, String domain, Path folder, Address store) throws IOException {
 		this.vm = vm;
 		this.domain = domain;
 		this.folder = folder;
-		this.store = FaultProxy.start(store);
+		this.storePath = FaultProxy.start(store);
 		writeSettings(52);
 		this.process = launch();
 	}
 
-	private Path settings() {
+	private Path settingsFile() {
 		return this.folder.resolve(this.vm + ".conf");
 	}
 
 	void writeSettings(int retrySlack) throws IOException {
-		Files.writeString(settings(), """
+		Files.writeString(settingsFile(), """
 				node=%s
 				ip=127.0.0.1
 				zone=%s
@@ -68,17 +68,18 @@
 				bounds.retry_ratio=0.2
 				bounds.retry_window_s=10
 				bounds.retry_slack=%d
-				""".formatted(this.vm, this.domain, this.store.address(), retrySlack));
+				""".formatted(this.vm, this.domain, this.storePath.address(), retrySlack));
 	}
 
 	private ManagedProcess launch() throws IOException {
-		this.starts++;
-		Path log = this.folder.resolve(this.vm + "-" + this.starts + ".log");
+		this.startCount++;
+		Path log = this.folder.resolve(this.vm + "-" + this.startCount + ".log");
 		return ManagedProcess.start(NodeMain.class.getName(),
-				List.of("--settings", settings().toString(), "--metrics-port", "0"), log, JVM, SoakNode::ports);
+				List.of("--settings", settingsFile().toString(), "--metrics-port", "0"), log, JVM_OPTIONS,
+				SoakNode::parsePorts);
 	}
 
-	private static Map<String, Integer> ports(String line) {
+	private static Map<String, Integer> parsePorts(String line) {
 		Matcher matcher = STARTED.matcher(line);
 		Map<String, Integer> ports = new HashMap<>();
 		if (matcher.find()) {
@@ -92,8 +93,8 @@
 		return this.vm;
 	}
 
-	FaultProxy store() {
-		return this.store;
+	FaultProxy storePath() {
+		return this.storePath;
 	}
 
 	synchronized Address callers() {
@@ -104,9 +105,9 @@
 		return this.process.address("readiness");
 	}
 
-	// Names one life of the process.
+	// Identifies one run of the process.
 	synchronized String incarnation() {
-		return this.vm + "#" + this.starts;
+		return this.vm + "#" + this.startCount;
 	}
 
 	synchronized ManagedProcess process() {
@@ -122,7 +123,7 @@
 	@Override
 	public synchronized void close() {
 		this.process.kill();
-		this.store.close();
+		this.storePath.close();
 	}
 
 }
--- a/integration-tests/src/test/java/org/tallycart/integration/soak/Violations.java
+++ b/integration-tests/src/test/java/org/tallycart/integration/soak/Violations.java
@@ -4,28 +4,28 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Broken promises, and notes of what was done meanwhile, in order.
+ * Violated guarantees, and a chronological log of the faults injected.
  * <p>
  * Thread-safe.
  */
 final class Violations {
 
-	private final long beganNanos = System.nanoTime();
+	private final long startNanos = System.nanoTime();
 
 	private final List<String> notes = new CopyOnWriteArrayList<>();
 
 	private final List<String> violations = new CopyOnWriteArrayList<>();
 
 	void note(String text) {
-		this.notes.add(stamped(text));
+		this.notes.add(withElapsedTime(text));
 	}
 
 	void add(String text) {
-		this.violations.add(stamped(text));
+		this.violations.add(withElapsedTime(text));
 	}
 
-	private String stamped(String text) {
-		return (System.nanoTime() - this.beganNanos) / 1_000_000 + " ms: " + text;
+	private String withElapsedTime(String text) {
+		return (System.nanoTime() - this.startNanos) / 1_000_000 + " ms: " + text;
 	}
 
 	boolean isEmpty() {
@@ -34,7 +34,7 @@
 
 	@Override
 	public String toString() {
-		return String.join("\n", this.violations) + "\nwhat was done:\n" + String.join("\n", this.notes);
+		return String.join("\n", this.violations) + "\nfaults and actions:\n" + String.join("\n", this.notes);
 	}
 
 }
