--- a/load/src/main/java/org/tallycart/load/CallerClient.java
+++ b/load/src/main/java/org/tallycart/load/CallerClient.java
@@ -73,7 +73,7 @@
 				.put("stream", submission.stream()));
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("cannot serialize the request body of " + submission.marker(), ex);
+			throw new IllegalStateException("cannot serialize the request body", ex);
 		}
 		HttpCall.Builder call = HttpCall.post("/v1/pipelines/" + submission.pipeline(), body)
 			.field("Tallycart-Workspace", submission.workspace())
@@ -158,7 +158,7 @@
 	private static String findViolation(JsonNode end, String output, Submission submission) {
 		byte[] bytes = output.getBytes(StandardCharsets.UTF_8);
 		if (end.path("length").asInt(-1) != bytes.length) {
-			return "end record states " + end.path("length") + " bytes, received " + bytes.length;
+			return "end record states " + end.path("length") + " bytes, " + bytes.length + " received";
 		}
 		if (!end.path("sha256").asText().equals(Digest.of(bytes))) {
 			return "SHA-256 of the output differs from the end record";
--- a/standin/src/main/java/org/tallycart/standin/PlatformStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/PlatformStandin.java
@@ -132,7 +132,7 @@
 		versions.add(value);
 		notifyAll();
 		if (this.faults.takeReplyLoss()) {
-			throw new IOException("injected fault: the reply to the write of " + name + " is dropped");
+			throw new IOException("injected fault: the reply to a write is dropped");
 		}
 		response.setHeader("ETag", "\"" + versions.size() + "\"");
 		JsonHttp.respond(response, OK, "");
--- a/standin/src/main/java/org/tallycart/standin/UpstreamStandin.java
+++ b/standin/src/main/java/org/tallycart/standin/UpstreamStandin.java
@@ -104,7 +104,7 @@
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			throw new IOException("interrupted while serving a call of upstream " + this.definition.id(), ex);
+			throw new IOException("interrupted while serving an upstream call", ex);
 		}
 	}
 
--- a/steward/src/main/java/org/tallycart/steward/SlotOwnershipManager.java
+++ b/steward/src/main/java/org/tallycart/steward/SlotOwnershipManager.java
@@ -232,7 +232,7 @@
 		if (change.handedOver()) {
 			this.claims.unseal(change.slots());
 			this.events.emit(EventCode.HANDOVER_FAILED,
-					"the slot map was not changed; this VM keeps slots " + change.slots());
+					"the slot map was not changed; slots " + change.slots() + " stay with this VM");
 		}
 	}
 
--- a/testbed/src/main/java/org/tallycart/testbed/CoreBenchmark.java
+++ b/testbed/src/main/java/org/tallycart/testbed/CoreBenchmark.java
@@ -99,7 +99,7 @@
 			bestNs = Math.min(bestNs, (threadCpuNs() - startNs) / count);
 			bytesPerClaim = (usedHeapBytes() - bytesBefore) / count;
 			if (table.size() != count) {
-				throw new IllegalStateException("expected " + count + " claims in the table, found " + table.size());
+				throw new IllegalStateException("claims are missing from the table");
 			}
 		}
 		out.printf("%9d %6d %6d%n", count, bestNs, bytesPerClaim);
--- a/testbed/src/main/java/org/tallycart/testbed/LocalFleet.java
+++ b/testbed/src/main/java/org/tallycart/testbed/LocalFleet.java
@@ -189,7 +189,7 @@
 				return FaultProxy.start(target);
 			}
 			catch (IOException ex) {
-				throw new IllegalStateException("cannot start a proxy for " + name + " to " + target, ex);
+				throw new IllegalStateException("cannot start a proxy", ex);
 			}
 		});
 	}
@@ -204,7 +204,7 @@
 	public FaultProxy proxy(String name) {
 		FaultProxy proxy = this.proxies.get(name);
 		if (proxy == null) {
-			throw new IllegalArgumentException("no proxy '" + name + "', expected one of " + this.proxies.keySet());
+			throw new IllegalArgumentException("unknown proxy " + name);
 		}
 		return proxy;
 	}
@@ -344,7 +344,7 @@
 	public void restartEntry(int number) throws IOException {
 		VmProcesses vm = this.vms.get(number);
 		startEntry(vm);
-		Await.until("entry of " + vm.id + " is ready", START_TIMEOUT_MS, () -> isReady(vm));
+		Await.until(vm.id + " has a ready entry", START_TIMEOUT_MS, () -> isReady(vm));
 		vm.inBalancer = true;
 	}
 
--- a/testbed/src/main/java/org/tallycart/testbed/ManagedProcess.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ManagedProcess.java
@@ -200,7 +200,7 @@
 			new ProcessBuilder("kill", name, Long.toString(this.process.pid())).start().waitFor();
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("cannot send signal " + name + " to process " + this.process.pid(), ex);
+			throw new IllegalStateException("cannot send the signal", ex);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/testbed/src/main/java/org/tallycart/testbed/ProcessHttp.java
+++ b/testbed/src/main/java/org/tallycart/testbed/ProcessHttp.java
@@ -66,8 +66,7 @@
 		})
 			.filterOrElse(HttpReply::isSuccess,
 					(reply) -> new HttpFailure(HttpFailure.Kind.BROKEN, true, "unexpected status " + reply.status()))
-			.getOrElseThrow((failure) -> new IllegalStateException(
-					"POST " + path + " to " + address + " failed: " + failure.message()));
+			.getOrElseThrow((failure) -> new IllegalStateException(path + ": POST failed: " + failure.message()));
 	}
 
 }
