--- a/core/src/main/java/org/tallycart/core/crash/CrashingRequestDetector.java
+++ b/core/src/main/java/org/tallycart/core/crash/CrashingRequestDetector.java
@@ -181,7 +181,8 @@
 	}
 
 	/**
-	 * Take the requests that have been confirmed as crashing.
+	 * Remove the requests whose confirmation is due, and return those that are confirmed
+	 * as crashing.
 	 * @param nowMs the current time on the monotonic clock, in milliseconds
 	 * @return the newly confirmed requests
 	 */
--- a/core/src/main/java/org/tallycart/core/limit/TokenBucket.java
+++ b/core/src/main/java/org/tallycart/core/limit/TokenBucket.java
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * Take a token.
+	 * Remove a token if one is available.
 	 * @param nowMs the current monotonic time, in milliseconds
 	 * @return true if a token was available
 	 */
--- a/entry/src/main/java/org/tallycart/entry/caller/CallerFields.java
+++ b/entry/src/main/java/org/tallycart/entry/caller/CallerFields.java
@@ -15,10 +15,10 @@
 	/** Maximum duration of the request, in milliseconds. */
 	public static final String DEADLINE_MS = "Tallycart-Deadline-Ms";
 
-	/** Whether stage calls of the request may be retried: true or false. */
+	/** Permission to retry stage calls of the request: true or false. */
 	public static final String REPEATABLE = "Tallycart-Repeatable";
 
-	/** Whether this is the first submission of the key: true or false. */
+	/** Mark of the first submission of the key: true or false. */
 	public static final String FIRST_SUBMISSION = "Tallycart-First-Submission";
 
 	/** Caller's label for the kind of work, read by policies. */
--- a/http/src/main/java/org/tallycart/http/HttpConnectionPool.java
+++ b/http/src/main/java/org/tallycart/http/HttpConnectionPool.java
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * Take an idle connection, or open a new one.
+	 * Return an idle connection, or open a new one.
 	 * @param address the address of the peer
 	 * @param timeoutMs the connect timeout, in milliseconds
 	 * @return the connection, or a failure with {@code sent} false
--- a/node/src/main/java/org/tallycart/node/store/ActiveConfig.java
+++ b/node/src/main/java/org/tallycart/node/store/ActiveConfig.java
@@ -21,7 +21,7 @@
 	private @Nullable ServingConfig current;
 
 	/**
-	 * Create a holder that has no configuration yet.
+	 * Create an instance without a configuration.
 	 * @param log the log for changes
 	 */
 	public ActiveConfig(NodeLog log) {
--- a/node/src/main/java/org/tallycart/node/store/FeedReplica.java
+++ b/node/src/main/java/org/tallycart/node/store/FeedReplica.java
@@ -27,10 +27,10 @@
 /**
  * Replica of one kind of object on this VM, read from the store or relayed by another VM.
  * <p>
- * Invariant: its point in the store's history only advances; an update that leads to no
- * later point, or leaves a gap, changes nothing. After a rollback of the store, a list of
- * the new era replaces the replica, except for objects that are newer than the backup,
- * see {@link RollbackOverrides}. Not thread-safe: confined to the event loop.
+ * Invariant: its position in the store's history only advances; an update that leads to
+ * no later position, or leaves a gap, changes nothing. After a rollback of the store, a
+ * list of the new era replaces the replica, except for objects that are newer than the
+ * backup, see {@link RollbackOverrides}. Not thread-safe: confined to the event loop.
  */
 final class FeedReplica implements FeedListener {
 
@@ -58,7 +58,7 @@
 
 	private final Map<String, StoredObject> objects = new HashMap<>();
 
-	private StorePosition point = StorePosition.UNKNOWN;
+	private StorePosition position = StorePosition.UNKNOWN;
 
 	// When the overrides expire; empty if there are none, or they do not expire.
 	private OptionalLong overridesEndMs = OptionalLong.empty();
@@ -91,23 +91,23 @@
 		};
 	}
 
-	StorePosition point() {
-		return this.point;
+	StorePosition position() {
+		return this.position;
 	}
 
 	boolean isLoaded() {
-		return !this.point.equals(StorePosition.UNKNOWN);
+		return !this.position.equals(StorePosition.UNKNOWN);
 	}
 
 	/**
 	 * Return the state of this replica, for a heartbeat request to the VM that relays it.
-	 * @return its point, and whether its overrides have expired
+	 * @return its position, and whether its overrides have expired
 	 */
 	FeedRevision revision() {
 		return FeedRevision.newBuilder()
 			.setFeed(this.feed)
-			.setEra(this.point.era())
-			.setRevision(this.point.revision())
+			.setEra(this.position.era())
+			.setRevision(this.position.revision())
 			.setOverdue(overridesExpired())
 			.build();
 	}
@@ -117,15 +117,16 @@
 	}
 
 	/**
-	 * Return whether another VM needs a snapshot of this replica. At the same point of
+	 * Return whether another VM needs a snapshot of this replica. At the same position in
 	 * the store's history it may still have overrides that this VM has dropped.
 	 * @param other the state of the other VM's replica, of this kind or another one
 	 * @return true if it is of this kind and behind this one, or has expired overrides
 	 */
 	boolean isNeededBy(FeedRevision other) {
-		StorePosition otherPoint = new StorePosition(other.getEra(), other.getRevision());
-		boolean correctsOther = other.getOverdue() && this.overridesEndMs.isEmpty() && !this.point.isBefore(otherPoint);
-		return other.getFeed() == this.feed && (otherPoint.isBefore(this.point) || correctsOther);
+		StorePosition otherPosition = new StorePosition(other.getEra(), other.getRevision());
+		boolean correctsOther = other.getOverdue() && this.overridesEndMs.isEmpty()
+				&& !this.position.isBefore(otherPosition);
+		return other.getFeed() == this.feed && (otherPosition.isBefore(this.position) || correctsOther);
 	}
 
 	// Returns the number of objects that differ from the restored store.
@@ -140,7 +141,7 @@
 
 	// Starts to read, unless the era has been read already.
 	void startReadingEra(long era) {
-		if (this.point.era() < era) {
+		if (this.position.era() < era) {
 			startReading();
 		}
 	}
@@ -151,12 +152,12 @@
 	}
 
 	@Override
-	public void onList(List<StoredObject> listed, StorePosition listPoint) {
-		if (listPoint.isBefore(this.point)) {
+	public void onList(List<StoredObject> listed, StorePosition listPosition) {
+		if (listPosition.isBefore(this.position)) {
 			return;
 		}
 		long now = this.loop.nowMs();
-		boolean newEra = isLoaded() && listPoint.era() > this.point.era();
+		boolean newEra = isLoaded() && listPosition.era() > this.position.era();
 		if (newEra) {
 			this.overrides.onRollback(this.objects, listed, this.sink::isNewer, now);
 			this.overrides.remainingMs(now).ifPresent((ms) -> this.loop.schedule(ms, this::listIfReading));
@@ -166,7 +167,7 @@
 		boolean unchanged = isLoaded() && !newEra && matches(effective);
 		replaceAll(effective);
 		if (!unchanged) {
-			this.point = listPoint;
+			this.position = listPosition;
 			this.publisher.accept(snapshot());
 		}
 	}
@@ -200,7 +201,7 @@
 
 	@Override
 	public void onChanges(List<ObjectChange> changes, StorePosition reached) {
-		StorePosition from = this.point;
+		StorePosition from = this.position;
 		this.overrides.onChanges(changes);
 		applyChanges(changes, reached);
 		this.publisher
@@ -217,7 +218,7 @@
 				this.objects.put(change.object().name(), change.object());
 			}
 		}
-		this.point = reached.isBefore(this.point) ? this.point : reached;
+		this.position = reached.isBefore(this.position) ? this.position : reached;
 		this.sink.onChanges(changes);
 	}
 
@@ -267,8 +268,8 @@
 			.setFeed(this.feed)
 			.setWhole(snapshot)
 			.setFromRevision(from.revision())
-			.setEra(this.point.era())
-			.setRevision(this.point.revision())
+			.setEra(this.position.era())
+			.setRevision(this.position.revision())
 			.setUntrustedMs((int) this.sink.remainingGraceMs())
 			.setKeptMs((int) remainingOverrideMs());
 	}
@@ -294,10 +295,10 @@
 	 */
 	void onUpdate(FeedUpdate update) {
 		StorePosition reached = new StorePosition(update.getEra(), update.getRevision());
-		boolean sameEra = isLoaded() && reached.era() == this.point.era();
-		boolean contiguous = update.getWhole() || (sameEra && update.getFromRevision() <= this.point.revision());
-		boolean samePoint = reached.equals(this.point);
-		if (reached.isBefore(this.point) || !contiguous || (samePoint && !update.getWhole())) {
+		boolean sameEra = isLoaded() && reached.era() == this.position.era();
+		boolean contiguous = update.getWhole() || (sameEra && update.getFromRevision() <= this.position.revision());
+		boolean samePosition = reached.equals(this.position);
+		if (reached.isBefore(this.position) || !contiguous || (samePosition && !update.getWhole())) {
 			return;
 		}
 		List<ObjectChange> changes = decode(update);
@@ -305,15 +306,15 @@
 			this.overridesEndMs = deadline(
 					(update.getKeptMs() > 0) ? OptionalLong.of(update.getKeptMs()) : OptionalLong.empty());
 		}
-		// A snapshot of the same point differs if overrides have expired.
-		if (samePoint && matches(objects(changes))) {
+		// A snapshot of the same position differs if overrides have expired.
+		if (samePosition && matches(objects(changes))) {
 			return;
 		}
 		if (update.getUntrustedMs() > 0) {
 			this.sink.extendGrace(update.getUntrustedMs());
 		}
 		if (update.getWhole()) {
-			this.point = reached;
+			this.position = reached;
 			replaceAll(objects(changes));
 		}
 		else {
--- a/node/src/test/java/org/tallycart/node/store/FeedReplicaTests.java
+++ b/node/src/test/java/org/tallycart/node/store/FeedReplicaTests.java
@@ -30,7 +30,7 @@
  * <p>
  * Guards against an object that stays on one VM for good after a rollback of the store:
  * its overrides expire while it no longer reads the store, and its source is at the same
- * point of the store's history.
+ * position in the store's history.
  */
 public class FeedReplicaTests {
 
@@ -43,7 +43,7 @@
 
 	private final Map<String, StoredObject> store = new HashMap<>();
 
-	private StorePosition storePoint = new StorePosition(0, 10);
+	private StorePosition storePosition = new StorePosition(0, 10);
 
 	private long nowMs;
 
@@ -54,7 +54,7 @@
 		this.store.clear();
 		put("a", 4);
 		put("dead", 9);
-		this.storePoint = new StorePosition(0, 10);
+		this.storePosition = new StorePosition(0, 10);
 	}
 
 	@AfterMethod
@@ -64,12 +64,13 @@
 
 	private void put(String name, long revision) {
 		this.store.put(name, StoredObject.parse(name, revision, "{}").get());
-		this.storePoint = new StorePosition(this.storePoint.era(), Math.max(revision, this.storePoint.revision()));
+		this.storePosition = new StorePosition(this.storePosition.era(),
+				Math.max(revision, this.storePosition.revision()));
 	}
 
 	private void rollBackWithout(String name, long revision) {
 		this.store.remove(name);
-		this.storePoint = new StorePosition(this.storePoint.era() + 1, revision);
+		this.storePosition = new StorePosition(this.storePosition.era() + 1, revision);
 	}
 
 	private void run(long ms) {
@@ -177,7 +178,7 @@
 		@Override
 		public void restart() {
 			this.listener.onList(new ArrayList<>(FeedReplicaTests.this.store.values()),
-					FeedReplicaTests.this.storePoint);
+					FeedReplicaTests.this.storePosition);
 		}
 
 		@Override
--- a/runtime/src/main/java/org/tallycart/runtime/process/DaemonCommand.java
+++ b/runtime/src/main/java/org/tallycart/runtime/process/DaemonCommand.java
@@ -64,7 +64,7 @@
 			return ExitCode.USAGE;
 		}
 		if (this.check) {
-			System.out.println(this.config + ": settings are good");
+			System.out.println(this.config + ": settings are valid");
 			return ExitCode.OK;
 		}
 		Logging.configure(log.format(), log.level());
--- a/steward/src/main/java/org/tallycart/steward/PeerDirectory.java
+++ b/steward/src/main/java/org/tallycart/steward/PeerDirectory.java
@@ -77,7 +77,8 @@
 	/**
 	 * Return the other entry VMs that can own slots and allocate shares.
 	 * @param nowMs the current time of the monotonic clock
-	 * @return the ids of the VMs that are listed as live and were heard from recently
+	 * @return the ids of the VMs that are listed as live and from which a message arrived
+	 * recently
 	 */
 	List<String> activeVms(long nowMs) {
 		Set<String> live = liveEntryIds();
