--- a/node/src/main/java/org/tallycart/node/EventLoop.java
+++ b/node/src/main/java/org/tallycart/node/EventLoop.java
@@ -8,7 +8,7 @@
 import org.tallycart.runtime.process.Guard;
 
 /**
- * The event loop, to which all state of the process belongs, and its steady clock.
+ * The event loop to which all state of the process is confined, and its monotonic clock.
  * <p>
  * Thread-safe.
  *
@@ -16,7 +16,7 @@
  */
 public final class EventLoop {
 
-	private static final long NANOS_IN_MS = 1_000_000;
+	private static final long NANOS_PER_MS = 1_000_000;
 
 	private final ScheduledExecutorService executor;
 
@@ -25,19 +25,19 @@
 	private final LongSupplier clock;
 
 	/**
-	 * Wrap an event loop that runs on this process's clock.
-	 * @param executor the loop, of one thread
-	 * @param guard takes what a task throws: a repeated task that fails runs again
+	 * Create an event loop that uses the monotonic clock of this process.
+	 * @param executor the single-threaded executor
+	 * @param guard handles exceptions of tasks: a periodic task that fails runs again
 	 */
 	public EventLoop(ScheduledExecutorService executor, Guard guard) {
-		this(executor, guard, EventLoop::steadyMs);
+		this(executor, guard, EventLoop::monotonicMs);
 	}
 
 	/**
-	 * Wrap an event loop.
-	 * @param executor the loop, of one thread
-	 * @param guard takes what a task throws: a repeated task that fails runs again
-	 * @param clock the steady clock on which the loop runs, in milliseconds
+	 * Create an event loop.
+	 * @param executor the single-threaded executor
+	 * @param guard handles exceptions of tasks: a periodic task that fails runs again
+	 * @param clock the monotonic clock of the executor, in milliseconds
 	 */
 	public EventLoop(ScheduledExecutorService executor, Guard guard, LongSupplier clock) {
 		this.executor = executor;
@@ -46,42 +46,42 @@
 	}
 
 	/**
-	 * Return the steady clock.
-	 * @return milliseconds from a fixed point
+	 * Return the time on the monotonic clock.
+	 * @return milliseconds since an arbitrary, fixed point
 	 */
 	public long nowMs() {
 		return this.clock.getAsLong();
 	}
 
 	/**
-	 * Return the steady clock, where no loop is there yet.
-	 * @return milliseconds from a fixed point
+	 * Return the time on the monotonic clock of this process.
+	 * @return milliseconds since an arbitrary, fixed point
 	 */
-	public static long steadyMs() {
-		return System.nanoTime() / NANOS_IN_MS;
+	public static long monotonicMs() {
+		return System.nanoTime() / NANOS_PER_MS;
 	}
 
 	/**
-	 * Run a task once.
-	 * @param delayMs when, in milliseconds from now
+	 * Schedule a task to run once.
+	 * @param delayMs the delay from now, in milliseconds
 	 * @param task the task
-	 * @return cancels it
+	 * @return a future that cancels the task
 	 */
 	public ScheduledFuture<?> schedule(long delayMs, Runnable task) {
 		return this.executor.schedule(guarded(task), Math.max(delayMs, 0), TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * Run a task again and again.
-	 * @param periodMs the pause between two runs, in milliseconds
+	 * Schedule a task to run periodically.
+	 * @param delayMs the delay before the first run and between two runs, in milliseconds
 	 * @param task the task
 	 */
-	public void scheduleWithFixedDelay(long periodMs, Runnable task) {
-		this.executor.scheduleWithFixedDelay(guarded(task), periodMs, periodMs, TimeUnit.MILLISECONDS);
+	public void scheduleWithFixedDelay(long delayMs, Runnable task) {
+		this.executor.scheduleWithFixedDelay(guarded(task), delayMs, delayMs, TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * Run a task after what the loop does now.
+	 * Run a task after the current one.
 	 * @param task the task
 	 */
 	public void execute(Runnable task) {
@@ -93,7 +93,7 @@
 	}
 
 	/**
-	 * Return the loop for libraries that schedule on it.
+	 * Return the executor, for libraries that schedule tasks on it.
 	 * @return the executor
 	 */
 	public ScheduledExecutorService executor() {
--- a/node/src/main/java/org/tallycart/node/Node.java
+++ b/node/src/main/java/org/tallycart/node/Node.java
@@ -50,27 +50,27 @@
 import org.tallycart.wire.WireTransport;
 
 /**
- * The serving process: its parts, their start and their graceful stop.
+ * The serving process: creates, starts and gracefully stops its components.
  * <p>
- * Invariant: all parts run on one event loop. Not thread-safe, but for {@link #drain()}
- * and {@link #awaitStopped()}.
+ * Invariant: all components run on one event loop. Not thread-safe, except for
+ * {@link #drain()}, {@link #awaitStopped()} and the reload methods.
  */
 final class Node {
 
-	/** Time between two looks at what has expired, in milliseconds. */
-	private static final long HOUSEKEEPING_MS = 200;
+	/** Interval at which expired state is dropped, in milliseconds. */
+	private static final long HOUSEKEEPING_INTERVAL_MS = 200;
 
 	/**
-	 * How long callers are still accepted after a stop began, in milliseconds: the
-	 * platform asks once a second and needs two misses.
+	 * Time for which callers are still accepted after a drain began, in milliseconds: the
+	 * platform polls readiness once a second, and reacts to the second failure.
 	 */
-	private static final long STILL_ACCEPTING_MS = 2_300;
+	private static final long ACCEPT_DURING_DRAIN_MS = 2_300;
 
-	/** Time kept before the kill, in milliseconds. */
-	private static final long BEFORE_KILL_MS = 600;
+	/** Reserve before the platform kills the process, in milliseconds. */
+	private static final long KILL_RESERVE_MS = 600;
 
-	/** Time between two looks at whether all work has ended, in milliseconds. */
-	private static final long STOP_CHECK_MS = 50;
+	/** Interval at which a drain checks for remaining work, in milliseconds. */
+	private static final long DRAIN_CHECK_INTERVAL_MS = 50;
 
 	private final NodeSettings settings;
 
@@ -78,7 +78,7 @@
 
 	private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-	private final NodeLog log = new NodeLog(EventLoop::steadyMs);
+	private final NodeLog log = new NodeLog(EventLoop::monotonicMs);
 
 	private final EventLoop loop = new EventLoop(this.group.next(), Guard.install(this::onFailure));
 
@@ -96,15 +96,15 @@
 
 	private final Quarantine quarantine = new Quarantine();
 
-	private final NoticeDistributor statementSpread;
+	private final NoticeDistributor statementDistributor;
 
 	private final UpstreamStatements statements;
 
 	private final PermitService permits;
 
-	private final NoticeDistributor crashSpread;
+	private final NoticeDistributor crashDistributor;
 
-	private final CrashReportCoordinator crashNews;
+	private final CrashReportCoordinator crashReports;
 
 	private final PieceService pieces;
 
@@ -114,7 +114,7 @@
 
 	private final RetryBudgets budgets;
 
-	private final ColdStartLimiter cold;
+	private final ColdStartLimiter coldStarts;
 
 	private final CallerHandler callerHandler;
 
@@ -133,48 +133,48 @@
 		this.transport = WireTransport.create(identity, this.group);
 		ObjectClient objects = new ObjectClient(this.http, this.loop.executor(), settings.store(),
 				this.metrics::onStoreCall);
-		ReplicatedState known = new ReplicatedState(this.config, this.directory, this.quarantine, this.metrics);
-		this.store = new StoreReplicator(settings, objects, this.loop, this.log, known, this::onChange,
-				this::wantDuties);
-		this.crashSpread = new NoticeDistributor(settings.vm(), this.store);
-		this.crashNews = new CrashReportCoordinator(this.quarantine, this.loop, this.log,
-				new QuarantineRecords(objects), this.crashSpread);
+		ReplicatedState state = new ReplicatedState(this.config, this.directory, this.quarantine, this.metrics);
+		this.store = new StoreReplicator(settings, objects, this.loop, this.log, state, this::onChange,
+				this::updateWatchedRoles);
+		this.crashDistributor = new NoticeDistributor(settings.vm(), this.store);
+		this.crashReports = new CrashReportCoordinator(this.quarantine, this.loop, this.log,
+				new QuarantineRecords(objects), this.crashDistributor);
 		UpstreamCrashDetector crashes = new UpstreamCrashDetector(this.http, this.loop, this.log, this.metrics,
-				this.crashNews);
-		this.statementSpread = new NoticeDistributor(settings.vm(), this.store);
+				this.crashReports);
+		this.statementDistributor = new NoticeDistributor(settings.vm(), this.store);
 		this.statements = new UpstreamStatements(this.loop, () -> identity.clock().tick(Clocks.SYSTEM.wallMs()),
-				this.log, this.metrics, this.directory, this.statementSpread, this::wantDuties);
+				this.log, this.metrics, this.directory, this.statementDistributor, this::updateWatchedRoles);
 		this.permits = new PermitService(settings.vm(), this.statements, this.loop, this.metrics);
-		ResultReleaser returns = new ResultReleaser(this.http, this.loop, this.directory);
-		PoolContext parts = new PoolContext(this.http, this.loop, this.log, returns, crashes, this.statements,
+		ResultReleaser releaser = new ResultReleaser(this.http, this.loop, this.directory);
+		PoolContext poolContext = new PoolContext(this.http, this.loop, this.log, releaser, crashes, this.statements,
 				this.permits, this.metrics);
-		this.pieces = new PieceService(settings.vm(), parts, this.config, this.directory);
+		this.pieces = new PieceService(settings.vm(), poolContext, this.config, this.directory);
 		this.mesh = new PeerMesh(settings.vm(), this.transport, this.loop, this.log,
-				PeerMessageHandler.composite(List.of(this.pieces, this.crashNews, this.statements, this.permits)),
+				PeerMessageHandler.composite(List.of(this.pieces, this.crashReports, this.statements, this.permits)),
 				this.store);
-		this.budgets = new RetryBudgets(settings.platformLimits(), this.loop, this::vmsSharingBudgets);
-		this.cold = new ColdStartLimiter(settings.vm(), this.mesh::vms, this::coldPerSecond);
-		ServingContext serving = new ServingContext(settings.failureDomain(), this.loop, this.log, this.http,
-				this.directory, this.cold, this.statements, this.permits, this.pieces, this.budgets, crashes,
+		this.budgets = new RetryBudgets(settings.platformLimits(), this.loop, this::budgetSharingVms);
+		this.coldStarts = new ColdStartLimiter(settings.vm(), this.mesh::vms, this::coldRequestsPerSecond);
+		ServingContext servingContext = new ServingContext(settings.failureDomain(), this.loop, this.log, this.http,
+				this.directory, this.coldStarts, this.statements, this.permits, this.pieces, this.budgets, crashes,
 				this.quarantine, this.metrics);
-		this.callerHandler = new CallerHandler(serving, this.config);
+		this.callerHandler = new CallerHandler(servingContext, this.config);
 	}
 
 	/**
 	 * Start a process.
-	 * @param settings its settings
-	 * @param metricsPort where metrics are shown; 0 takes a free port
-	 * @return the process, or why it cannot start
+	 * @param settings the settings
+	 * @param metricsPort the port of the metrics; 0 for a free port
+	 * @return the process, or the reason why it cannot start
 	 */
 	static Either<String, Node> start(NodeSettings settings, int metricsPort) {
 		Node node = new Node(settings, metricsPort);
 		return node.listen().map((listeners) -> {
-			node.loop.execute(() -> node.begin(listeners));
+			node.loop.execute(() -> node.startComponents(listeners));
 			return node;
 		});
 	}
 
-	// A broken invariant ends the process right after this, so its line has to be out.
+	// The process ends right after a broken invariant, so the line is flushed.
 	private void onFailure(EventCode code, String detail) {
 		this.log.event(code, "detail", detail);
 		if (code == EventCode.INVARIANT_BROKEN) {
@@ -182,13 +182,13 @@
 		}
 	}
 
-	// While no VM is known there may be any number: nothing is taken of what all share.
-	private int vmsSharingBudgets() {
+	// While no VM is known there may be any number, so no shared budget is used.
+	private int budgetSharingVms() {
 		int known = this.mesh.knownVmCount();
 		return (known > 0) ? known : Integer.MAX_VALUE;
 	}
 
-	private double coldPerSecond(String service) {
+	private double coldRequestsPerSecond(String service) {
 		return this.config.current()
 			.flatMap((current) -> current.service(service))
 			.map(ServiceSpec::coldRequestsPerSecond)
@@ -196,54 +196,54 @@
 	}
 
 	private void onChange() {
-		wantDuties();
+		updateWatchedRoles();
 		this.pieces.refreshPools();
 	}
 
-	private void wantDuties() {
-		List<LeaderRole> duties = new ArrayList<>(this.pieces.duties());
-		duties.addAll(this.store.watchedRoles());
-		duties.addAll(this.statements.watchedRoles());
-		this.mesh.setWatchedRoles(duties);
+	private void updateWatchedRoles() {
+		List<LeaderRole> roles = new ArrayList<>(this.pieces.duties());
+		roles.addAll(this.store.watchedRoles());
+		roles.addAll(this.statements.watchedRoles());
+		this.mesh.setWatchedRoles(roles);
 	}
 
 	private Either<String, Listeners> listen() {
 		Address metricsAddress = new Address(this.settings.ip(), this.metricsPort);
 		Address peers = new Address(this.settings.ip(), this.settings.peerPort());
 		return this.transport.listen(peers, this.mesh::receive)
-			.flatMap((wire) -> HttpServer.start(this.group, this.settings.readiness(), this.readiness)
+			.flatMap((peerListener) -> HttpServer.start(this.group, this.settings.readiness(), this.readiness)
 				.flatMap((ready) -> HttpServer.start(this.group, this.settings.callers(), this.callerHandler)
 					.flatMap((callers) -> HttpServer.start(this.group, metricsAddress, new MetricsHandler(this.metrics))
-						.map((page) -> new Listeners(new Address(this.settings.ip(), wire.port()), ready, callers,
-								page)))))
+						.map((metricsServer) -> new Listeners(new Address(this.settings.ip(), peerListener.port()),
+								ready, callers, metricsServer)))))
 			.peek((listeners) -> this.listeners = Optional.of(listeners));
 	}
 
 	/**
-	 * Return where callers are accepted.
-	 * @return the port
+	 * Return the port for callers.
+	 * @return the port; 0 if the process does not listen yet
 	 */
 	int callersPort() {
 		return this.listeners.map((present) -> present.callers().port()).orElse(0);
 	}
 
 	/**
-	 * Return where readiness is asked for.
-	 * @return the port
+	 * Return the port of the readiness endpoint.
+	 * @return the port; 0 if the process does not listen yet
 	 */
 	int readinessPort() {
 		return this.listeners.map((present) -> present.readiness().port()).orElse(0);
 	}
 
 	/**
-	 * Return where metrics are shown.
-	 * @return the port
+	 * Return the port of the metrics.
+	 * @return the port; 0 if the process does not listen yet
 	 */
 	int metricsPort() {
 		return this.listeners.map((present) -> present.metrics().port()).orElse(0);
 	}
 
-	private void begin(Listeners listeners) {
+	private void startComponents(Listeners listeners) {
 		this.metrics.registerGauge("config.version",
 				() -> this.config.current().map(ServingConfig::version).orElse(0L));
 		this.metrics.registerGauge("vms.live", this.mesh::liveVmCount);
@@ -263,58 +263,59 @@
 				"callers", new Address(this.settings.ip(), callersPort()), "readiness",
 				new Address(this.settings.ip(), readinessPort()), "metrics",
 				new Address(this.settings.ip(), metricsPort()), "store", this.settings.store());
-		wantDuties();
+		updateWatchedRoles();
 		this.mesh.start();
-		this.store.onRollback(this.crashNews::republish);
+		this.store.onRollback(this.crashReports::republish);
 		this.store.start(this.mesh, listeners.peers());
 		this.pieces.start(this.mesh);
-		this.crashSpread.start(this.mesh);
-		this.statementSpread.start(this.mesh);
+		this.crashDistributor.start(this.mesh);
+		this.statementDistributor.start(this.mesh);
 		this.permits.start(this.mesh);
-		this.loop.scheduleWithFixedDelay(HOUSEKEEPING_MS, this::housekeeping);
+		this.loop.scheduleWithFixedDelay(HOUSEKEEPING_INTERVAL_MS, this::housekeeping);
 	}
 
 	private void housekeeping() {
 		this.directory.expireVanished(this.loop.nowMs());
-		this.cold.expire(this.loop.nowMs());
-		this.crashNews.refresh();
+		this.coldStarts.expire(this.loop.nowMs());
+		this.crashReports.refresh();
 		this.statements.refresh();
 		this.permits.expire();
 		this.http.closeStale();
-		this.readiness.ready();
+		this.readiness.checkReadiness();
 	}
 
 	/**
-	 * Take new settings; what a running process cannot change waits for its next start.
-	 * @param fresh the settings
+	 * Apply new settings. Only the platform limits change at runtime; other settings take
+	 * effect at the next start.
+	 * @param changed the settings
 	 */
-	void reload(NodeSettings fresh) {
+	void reload(NodeSettings changed) {
 		this.loop.execute(() -> {
-			this.budgets.update(fresh.platformLimits());
+			this.budgets.update(changed.platformLimits());
 			this.log.event(EventCode.SETTINGS_CHANGED, "taken", true);
 		});
 	}
 
 	/**
-	 * Take note of a settings file that cannot be read.
-	 * @param problems what is wrong with it
+	 * Log that the settings file could not be reloaded.
+	 * @param problems the problems with the file
 	 */
 	void reloadFailed(List<String> problems) {
 		this.loop.execute(() -> this.log.event(EventCode.SETTINGS_CHANGED, "taken", false, "problems", problems));
 	}
 
-	/** Begin a graceful stop. */
+	/** Start a graceful stop. */
 	void drain() {
 		this.loop.execute(() -> this.drainAction.run());
 	}
 
 	/**
-	 * Run a task again and again on the event loop.
-	 * @param periodMs the pause between two runs, in milliseconds
+	 * Schedule a task to run periodically on the event loop.
+	 * @param delayMs the delay before the first run and between two runs, in milliseconds
 	 * @param task the task
 	 */
-	void everyCheck(long periodMs, Runnable task) {
-		this.loop.scheduleWithFixedDelay(periodMs, task);
+	void scheduleWithFixedDelay(long delayMs, Runnable task) {
+		this.loop.scheduleWithFixedDelay(delayMs, task);
 	}
 
 	private void beginDrain(HttpServer callers) {
@@ -322,30 +323,30 @@
 		};
 		this.log.event(EventCode.DRAIN_BEGAN, "busy", callers.busyConnections());
 		this.readiness.drain();
-		this.readiness.ready();
+		this.readiness.checkReadiness();
 		this.mesh.drain();
 		this.pieces.handOver();
 		callers.drain();
-		long deadline = this.loop.nowMs() + this.settings.platformLimits().graceMs() - BEFORE_KILL_MS;
-		this.loop.schedule(STILL_ACCEPTING_MS, () -> {
+		long deadlineMs = this.loop.nowMs() + this.settings.platformLimits().graceMs() - KILL_RESERVE_MS;
+		this.loop.schedule(ACCEPT_DURING_DRAIN_MS, () -> {
 			callers.stopListening();
 			callers.closeIdle();
-			awaitIdle(callers, deadline);
+			awaitIdle(callers, deadlineMs);
 		});
 	}
 
-	private void awaitIdle(HttpServer callers, long deadline) {
+	private void awaitIdle(HttpServer callers, long deadlineMs) {
 		boolean idle = callers.busyConnections() == 0 && this.pieces.idle();
-		if (idle || this.loop.nowMs() >= deadline) {
+		if (idle || this.loop.nowMs() >= deadlineMs) {
 			this.log.event(EventCode.DRAIN_ENDED, "idle", idle);
-			this.loop.schedule(STOP_CHECK_MS, this.stopped::countDown);
+			this.loop.schedule(DRAIN_CHECK_INTERVAL_MS, this.stopped::countDown);
 			return;
 		}
-		this.loop.schedule(STOP_CHECK_MS, () -> awaitIdle(callers, deadline));
+		this.loop.schedule(DRAIN_CHECK_INTERVAL_MS, () -> awaitIdle(callers, deadlineMs));
 	}
 
 	/**
-	 * Wait until a graceful stop has ended.
+	 * Wait until a graceful stop has completed.
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	void awaitStopped() throws InterruptedException {
@@ -358,12 +359,12 @@
 	}
 
 	/**
-	 * What the process listens on.
+	 * The listeners of the process.
 	 *
-	 * @param peers where other VMs are accepted
-	 * @param readiness answers the platform
-	 * @param callers answers callers
-	 * @param metrics shows what is counted
+	 * @param peers the address for other VMs
+	 * @param readiness the server for readiness requests of the platform
+	 * @param callers the server for callers
+	 * @param metrics the server for metrics
 	 */
 	private record Listeners(Address peers, HttpServer readiness, HttpServer callers, HttpServer metrics) {
 	}
--- a/node/src/main/java/org/tallycart/node/NodeMain.java
+++ b/node/src/main/java/org/tallycart/node/NodeMain.java
@@ -16,8 +16,8 @@
 import sun.misc.Signal;
 
 /**
- * Starts a serving process and stops it on SIGTERM; SIGHUP and a changed settings file
- * are taken without a stop.
+ * Starts a serving process and drains it on SIGTERM or SIGINT. Reloads the settings on
+ * SIGHUP and when the settings file changes.
  * <p>
  * Thread-safe: used by the main thread only.
  *
@@ -27,11 +27,12 @@
 		description = "Serves callers on a VM of the platform.")
 public final class NodeMain implements Callable<Integer> {
 
-	/** Time between two looks at the settings file, in milliseconds. */
-	private static final long SETTINGS_CHECK_MS = 2_000;
+	/** Interval of checks for a changed settings file, in milliseconds. */
+	private static final long SETTINGS_CHECK_INTERVAL_MS = 2_000;
 
 	/**
-	 * Outside the ports that the platform hands out; named in the deploy file as well.
+	 * Default port of the metrics, outside the range that the platform assigns. The
+	 * deploy file contains it, too.
 	 */
 	private static final int DEFAULT_METRICS_PORT = 9464;
 
@@ -52,10 +53,9 @@
 	private boolean check;
 
 	/**
-	 * Run the program. Without arguments, as the platform runs it, the command line's
-	 * library is not loaded: its 168 classes are too old for a class archive and take 0.2
-	 * of the 0.7 s of processor time of a start, measured as {@code --version} against a
-	 * bare JVM.
+	 * Run the program. Without arguments, as the platform starts it, the command line
+	 * library is not loaded, since its classes cannot be part of a class archive and slow
+	 * down the start.
 	 * @param arguments the command line
 	 * @throws InterruptedException if the thread is interrupted
 	 */
@@ -102,8 +102,8 @@
 		Signal.handle(new Signal("TERM"), (signal) -> node.drain());
 		Signal.handle(new Signal("INT"), (signal) -> node.drain());
 		Signal.handle(new Signal("HUP"), (signal) -> reload(node, source));
-		node.everyCheck(SETTINGS_CHECK_MS, () -> {
-			if (source.changed()) {
+		node.scheduleWithFixedDelay(SETTINGS_CHECK_INTERVAL_MS, () -> {
+			if (source.isChanged()) {
 				reload(node, source);
 			}
 		});
--- a/node/src/main/java/org/tallycart/node/ReadinessHandler.java
+++ b/node/src/main/java/org/tallycart/node/ReadinessHandler.java
@@ -13,10 +13,10 @@
 import org.tallycart.runtime.event.EventCode;
 
 /**
- * Tells the platform whether the VM may get callers: once a configuration and the list of
- * upstreams are known, and until the process stops.
+ * Reports to the platform whether the VM is ready for callers: from the time when it has
+ * a configuration and the list of upstreams, until the process drains.
  * <p>
- * Not thread-safe: belongs to the event loop.
+ * Not thread-safe: confined to the event loop.
  */
 final class ReadinessHandler implements RequestHandler {
 
@@ -34,7 +34,7 @@
 
 	private boolean draining;
 
-	private boolean lastSaid;
+	private boolean lastReady;
 
 	ReadinessHandler(ActiveConfig config, UpstreamDirectory directory, NodeLog log) {
 		this.config = config;
@@ -42,10 +42,10 @@
 		this.log = log;
 	}
 
-	boolean ready() {
+	boolean checkReadiness() {
 		boolean ready = !this.draining && this.config.current().isPresent() && this.directory.isLoaded();
-		if (ready != this.lastSaid) {
-			this.lastSaid = ready;
+		if (ready != this.lastReady) {
+			this.lastReady = ready;
 			this.log.event(EventCode.READINESS_CHANGED, "ready", ready, "draining", this.draining);
 		}
 		return ready;
@@ -57,9 +57,9 @@
 
 	@Override
 	public void onRequest(HttpRequest head, byte[] body, Responder responder) {
-		int status = ready() ? READY : NOT_READY;
-		boolean asked = CallerCodec.READINESS_PATH.equals(head.getPath());
-		responder.send(new BasicHttpResponse(asked ? status : NOT_FOUND), new byte[0]);
+		int status = checkReadiness() ? READY : NOT_READY;
+		boolean pathMatches = CallerCodec.READINESS_PATH.equals(head.getPath());
+		responder.send(new BasicHttpResponse(pathMatches ? status : NOT_FOUND), new byte[0]);
 	}
 
 	@Override
--- a/node/src/main/java/org/tallycart/node/SettingsSource.java
+++ b/node/src/main/java/org/tallycart/node/SettingsSource.java
@@ -18,7 +18,7 @@
 
 	private final Path path;
 
-	private String text = "";
+	private String content = "";
 
 	SettingsSource(Path path) {
 		this.path = path;
@@ -26,12 +26,12 @@
 
 	/**
 	 * Read the file.
-	 * @return the settings, or all that is wrong
+	 * @return the settings, or all problems with the file
 	 */
 	Either<List<String>, NodeSettings> read() {
 		try {
-			this.text = Files.readString(this.path);
-			return SettingsReader.read(this.text);
+			this.content = Files.readString(this.path);
+			return SettingsReader.read(this.content);
 		}
 		catch (IOException ex) {
 			return Either.left(List.of("cannot read " + this.path + ": " + ex.getMessage()));
@@ -39,15 +39,15 @@
 	}
 
 	/**
-	 * Tell whether the file has another text than when it was read last.
-	 * @return true if it has
+	 * Return whether the content of the file has changed since it was last read.
+	 * @return true if it has changed
 	 */
-	boolean changed() {
+	boolean isChanged() {
 		try {
-			return !Files.readString(this.path).equals(this.text);
+			return !Files.readString(this.path).equals(this.content);
 		}
 		catch (IOException ex) {
-			// A file that is being replaced is looked at again the next time.
+			// The file is probably being replaced; the next check reads it again.
 			return false;
 		}
 	}
--- a/node/src/main/java/org/tallycart/node/package-info.java
+++ b/node/src/main/java/org/tallycart/node/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The serving process of a VM: one event loop accepts callers, decides, calls upstreams
- * and keeps in step with the platform's store and with the other VMs.
+ * The serving process of a VM: one event loop accepts callers, routes requests, calls
+ * upstreams and synchronizes with the platform's store and the other VMs.
  */
 @NullMarked
 package org.tallycart.node;
--- a/node/src/test/java/org/tallycart/node/SelfTestTests.java
+++ b/node/src/test/java/org/tallycart/node/SelfTestTests.java
@@ -7,7 +7,7 @@
 import static org.testng.Assert.assertEquals;
 
 /**
- * Tests for the test that an installation runs of itself.
+ * Tests for {@link SelfTest}.
  */
 public class SelfTestTests {
 
